--- a/include/anvilscale/routing.h
+++ b/include/anvilscale/routing.h
@@ -1,6 +1,5 @@
-// Routing library: every decision of an entry (admission, routing, attempts, retries, verdicts) and of the load
-// scheduler, as state machines without I/O. Events go in by the on...() functions; actions come out of
-// takeActions(). The naive version stands behind the same faces, for comparison.
+// Routing library: state machines without I/O for the decisions of an entry and of the load scheduler. The on...()
+// functions take events; takeActions() returns the resulting actions.
 #pragma once
 
 #include "wire.pb.h"
@@ -16,14 +15,14 @@
 
 namespace anvilscale {
 
-/// A call as a caller made it, after the HTTP front has checked its form.
+/// A caller's call, validated by the HTTP front end.
 struct CallerRequest
 {
-    std::string route; ///< the operator's route; empty for a plain service
-    std::string service; ///< plain service; empty for a model call
-    std::optional<Duration> deadline; ///< from the caller; else the route's
+    std::string route; ///< route name; empty for a plain service
+    std::string service; ///< service name; empty for a model call
+    std::optional<Duration> deadline; ///< set by the caller; the deadline of the route if unset
     std::string key; ///< Idempotency-Key, empty if none
-    std::string caller; ///< who asks, for fairness; empty if not told
+    std::string caller; ///< caller identity, used for fair queueing; empty if unknown
     bool stream = false;
     std::string method;
     std::string path;
@@ -35,14 +34,14 @@
     std::uint64_t creditBytes = 0;
 };
 
-/// The one form in which a call is turned down or reported as broken.
+/// Why a call was refused or failed.
 struct CallError
 {
     Verdict verdict = Verdict::OutcomeUnknown;
     RefusalReason refusal = RefusalReason::None;
     FailureReason failure = FailureReason::None;
-    Duration retryAfter{}; ///< zero: not told
-    std::uint32_t attempts = 0; ///< made for the call
+    Duration retryAfter{}; ///< zero if unknown
+    std::uint32_t attempts = 0; ///< attempts made for the call
 };
 
 struct SendToSidecar
@@ -50,7 +49,7 @@
     std::string sidecar;
     wire::Envelope message;
 };
-/// The next part of the answer. `begin` comes once, with status and headers, before any data.
+/// The next part of an answer. The first one, and only that one, carries the status and the headers.
 struct DeliverFrame
 {
     CallHandle call;
@@ -59,13 +58,13 @@
     std::vector<std::pair<std::string, std::string>> headers;
     std::string data;
 };
-/// The answer is whole.
+/// The answer is complete.
 struct FinishCall
 {
     CallHandle call;
     bool replayed = false;
 };
-/// The call ends in an error. After a delivered frame it ends the stream by a typed error event, before by a status.
+/// The call fails. Reported as an HTTP status, or as an error event of the stream once a frame has been delivered.
 struct FailCall
 {
     CallHandle call;
@@ -73,23 +72,23 @@
 };
 using EntryAction = std::variant<SendToSidecar, DeliverFrame, FinishCall, FailCall>;
 
-/// Single safeguards, all on. Switched off by tests only, to show that the checks of the fault matrix can fail.
+/// Safeguards of an entry, all enabled by default. Only tests disable them, to verify that their checks can fail.
 struct EntrySafeguards
 {
-    bool frameMatch = true; ///< frames belong to the open attempt of their id and sidecar, and are in order
-    bool digestCheck = true; ///< frame count and digest of the end frame
-    bool notRunProof = true; ///< "not run" needs a proof; off: whatever ended before an answer counts as not run
-    bool spliceGuard = true; ///< no retry once the caller has seen bytes
-    bool retryOnlySafe = true; ///< no retry of a call that may have run, unless it is idempotent
-    bool slotFence = true; ///< the slot owner's fencing number goes with the call
-    bool leavingGuard = true; ///< no new work to a slot owner that is suspect or leaving
+    bool frameMatch = true; ///< accepts only frames of the open attempt with their id and sidecar, in order
+    bool digestCheck = true; ///< checks the answer against the frame count and digest of the end frame
+    bool notRunProof = true; ///< reports "not run" only with a proof, else for any call without an answer
+    bool spliceGuard = true; ///< no retry once the caller has received bytes
+    bool retryOnlySafe = true; ///< no retry of a non-idempotent call that may have run
+    bool slotFence = true; ///< sends the fencing number of the slot owner with the call
+    bool leavingGuard = true; ///< sends no new calls to a slot owner that is suspect or leaving
 };
 
-/// Ways of an entry to act in an overload, so that each can be measured alone. What is on here is what runs.
+/// Overload rules of an entry, which benchmarks toggle one by one. The defaults are used in production.
 struct EntryOverloadRules
 {
-    bool refuseByDeadline = true; ///< a call that no sidecar can answer in time is not sent
-    bool limitRepeats = true; ///< a caller's repeat that finds nothing to attach to counts against the retry budget
+    bool refuseByDeadline = true; ///< refuses a call that no sidecar can answer in time
+    bool limitRepeats = true; ///< counts a repeated key without an execution to attach to against the retry budget
 };
 
 struct EntryInit
@@ -115,12 +114,12 @@
     std::uint64_t calls = 0;
     std::uint64_t finished = 0;
     std::uint64_t attempts = 0;
-    std::uint64_t droppedFrames = 0; ///< matched no open attempt
-    std::uint64_t brokenAnswers = 0; ///< end frame did not agree
+    std::uint64_t droppedFrames = 0; ///< frames that matched no open attempt
+    std::uint64_t brokenAnswers = 0; ///< answers that did not match their end frame
     std::uint32_t open = 0;
 };
 
-/// What would happen to a call on a route now, for `anvilctl explain`.
+/// How a call on a route would be handled now. Used by `anvilctl explain`.
 struct RouteExplanation
 {
     bool known = false;
@@ -132,6 +131,7 @@
     RefusalReason refusal = RefusalReason::None;
 };
 
+/// Admission, placement, retries and verdicts of one entry.
 class EntryDecisions
 {
 public:
@@ -141,21 +141,21 @@
     EntryDecisions &operator=(const EntryDecisions &) = delete;
 
     void onCall(CallHandle call, CallerRequest request, Now now);
-    /// The caller closed its connection or was cut as a slow reader.
-    void onCallerGone(CallHandle call, FailureReason why, Now now);
-    /// The caller has taken `bytes` more of the answer.
+    /// The caller closed its connection or was disconnected as a slow reader.
+    void onCallerGone(CallHandle call, FailureReason reason, Now now);
+    /// The caller has read `bytes` more of the answer.
     void onCallerTook(CallHandle call, std::uint64_t bytes, Now now);
-    /// Any message of a sidecar.
+    /// A message from a sidecar.
     void onMessage(const std::string &sidecar, const wire::Envelope &message, Now now);
-    /// A message to the sidecar was certainly not sent.
+    /// The message of the attempt was provably not sent to the sidecar.
     void onSendFailed(const std::string &sidecar, const wire::AttemptId &id, Now now);
-    /// The connection to the sidecar broke. What was under way on it, either way, does not arrive any more.
+    /// The connection to the sidecar broke. Messages in flight in both directions are lost.
     void onConversationLost(const std::string &sidecar, Now now);
     void onMember(const Member &member, Now now);
     void onConfigChanged(Now now);
-    /// The slot table of a service was read or changed.
+    /// The slot table of a service was read or has changed.
     void onSlotTable(const config::SlotTable &table, Now now);
-    /// Summaries of other data centres, for spill.
+    /// A load summary of another data centre, used for spill.
     void onSummary(const std::string &dataCentre, const wire::Heartbeat &summary, Now now);
 
     std::vector<EntryAction> takeActions();
@@ -167,8 +167,8 @@
     std::unique_ptr<Impl> impl_;
 };
 
-/// The naive version behind the same face: least-loaded routing, retries without a budget, no admission by deadline.
-/// For comparison and differential tests only.
+/// Baseline implementation of the same interface: least-loaded routing, unlimited retries, no admission by deadline.
+/// Used for comparison and differential tests only.
 class NaiveEntryDecisions
 {
 public:
@@ -178,7 +178,7 @@
     NaiveEntryDecisions &operator=(const NaiveEntryDecisions &) = delete;
 
     void onCall(CallHandle call, CallerRequest request, Now now);
-    void onCallerGone(CallHandle call, FailureReason why, Now now);
+    void onCallerGone(CallHandle call, FailureReason reason, Now now);
     void onCallerTook(CallHandle call, std::uint64_t bytes, Now now);
     void onMessage(const std::string &sidecar, const wire::Envelope &message, Now now);
     void onSendFailed(const std::string &sidecar, const wire::AttemptId &id, Now now);
@@ -195,7 +195,7 @@
     std::unique_ptr<Impl> impl_;
 };
 
-/// Orders the loads of all sidecars. Grants are only made while `mayAct` says that the lease is held.
+/// Schedules the adapter loads of all sidecars. Makes grants only while this process holds the scheduler lease.
 class LoadScheduler
 {
 public:
@@ -215,13 +215,13 @@
         std::uint64_t storeRefusals = 0;
         std::uint32_t demands = 0;
     };
-    /// `mayAct` and `fence` are asked directly before each grant.
-    LoadScheduler(Init init, std::function<bool(TimePoint)> mayAct, std::function<std::uint64_t()> fence);
+    /// `holdsLease` and `fence` (the fencing number of the lease) are called immediately before each grant.
+    LoadScheduler(Init init, std::function<bool(TimePoint)> holdsLease, std::function<std::uint64_t()> fence);
     ~LoadScheduler();
     void onHeartbeat(const wire::Heartbeat &heartbeat, Now now);
     void onLoadResult(const wire::LoadResult &result, Now now);
     void onMember(const Member &member, Now now);
-    /// The lease was taken: in-flight loads of the predecessor may still run.
+    /// The lease was acquired. Loads granted by the previous holder may still be running.
     void onTakeOver(Now now);
     std::vector<SendToSidecar> takeActions();
     const Stats &stats() const;
--- a/src/routing/answer_assembler.cpp
+++ b/src/routing/answer_assembler.cpp
@@ -1,59 +1,60 @@
-// Frames into order, and the check of the end frame.
+// Frame reordering and end frame verification.
 #include "answer_assembler.h"
 
 namespace anvilscale {
 
 namespace {
 
-// A sender is limited by credit; a frame further ahead than this is no honest reordering.
-constexpr std::size_t maximumEarlyFrames = 4096;
+// Bounds the memory of a call: a sender within its credit never runs this far ahead.
+constexpr std::size_t maxEarlyFrames = 4096;
 
 } // namespace
 
 FrameResult AnswerAssembler::add(wire::CallFrame frame, std::vector<wire::CallFrame> &ready)
 {
     const auto sequence = frame.sequence();
-    if (sequence < next_ || early_.contains(sequence) || sequence - next_ > maximumEarlyFrames) {
+    if (sequence < nextSequence_ || earlyFrames_.contains(sequence) || sequence - nextSequence_ > maxEarlyFrames) {
         return FrameResult::Dropped;
     }
-    early_.emplace(sequence, std::move(frame));
-    while (!early_.empty() && early_.begin()->first == next_) {
-        auto node = early_.extract(early_.begin());
+    earlyFrames_.emplace(sequence, std::move(frame));
+    while (!earlyFrames_.empty() && earlyFrames_.begin()->first == nextSequence_) {
+        auto node = earlyFrames_.extract(earlyFrames_.begin());
         digest_.add(node.mapped().data());
         ready.push_back(std::move(node.mapped()));
-        ++next_;
+        ++nextSequence_;
     }
     return FrameResult::Accepted;
 }
 
-void AnswerAssembler::end(wire::CallEnd end)
+void AnswerAssembler::setEnd(wire::CallEnd end)
 {
-    end_ = std::move(end);
+    endFrame_ = std::move(end);
 }
 
 AnswerState AnswerAssembler::state(bool checkDigest) const
 {
-    if (!end_) {
+    if (!endFrame_) {
         return AnswerState::Open;
     }
     if (!checkDigest) {
         return AnswerState::Whole;
     }
-    if (next_ < end_->frames()) {
+    if (nextSequence_ < endFrame_->frames()) {
         return AnswerState::Open;
     }
-    const bool agrees = next_ == end_->frames() && early_.empty() && digest_.value() == end_->digest();
-    return agrees ? AnswerState::Whole : AnswerState::Broken;
+    const bool isMatching =
+        nextSequence_ == endFrame_->frames() && earlyFrames_.empty() && digest_.value() == endFrame_->digest();
+    return isMatching ? AnswerState::Whole : AnswerState::Broken;
 }
 
-const std::optional<wire::CallEnd> &AnswerAssembler::ending() const
+const std::optional<wire::CallEnd> &AnswerAssembler::endFrame() const
 {
-    return end_;
+    return endFrame_;
 }
 
-bool AnswerAssembler::started() const
+bool AnswerAssembler::hasStarted() const
 {
-    return next_ > 0;
+    return nextSequence_ > 0;
 }
 
 } // namespace anvilscale
--- a/src/routing/answer_assembler.h
+++ b/src/routing/answer_assembler.h
@@ -1,4 +1,4 @@
-// Puts the frames of one attempt's answer into order and decides whether the answer is whole.
+// Orders the frames of an attempt's answer and verifies that the answer is complete.
 #pragma once
 
 #include "wire.pb.h"
@@ -12,8 +12,8 @@
 namespace anvilscale {
 
 enum class FrameResult : std::uint8_t {
-    Accepted, ///< in order now, or kept until the gap before it closes
-    Dropped, ///< seen before, or beyond what a sender with this credit may send
+    Accepted, ///< in order, or buffered until the preceding frames arrive
+    Dropped, ///< duplicate, or too far ahead of the next expected frame
     Count
 };
 template<>
@@ -23,9 +23,9 @@
 };
 
 enum class AnswerState : std::uint8_t {
-    Open, ///< frames or the end are missing
+    Open, ///< frames or the end frame are missing
     Whole,
-    Broken, ///< frame count or digest do not agree with the end frame
+    Broken, ///< frame count or digest differ from the end frame
     Count
 };
 template<>
@@ -34,23 +34,26 @@
     static constexpr std::array<std::string_view, enumCount<AnswerState>> table{"open", "whole", "broken"};
 };
 
+/// Reassembles the answer of one attempt.
 class AnswerAssembler
 {
 public:
-    /// Takes a frame; those that are in order now are appended to `ready`.
+    /// Adds a frame. Appends every frame that is now in order to `ready`.
     FrameResult add(wire::CallFrame frame, std::vector<wire::CallFrame> &ready);
-    /// The end may arrive before the last frames when answers cross.
-    void end(wire::CallEnd end);
+    /// Sets the end frame, which may arrive before the last frames.
+    void setEnd(wire::CallEnd end);
+    /// Without `checkDigest` the end frame alone makes the answer whole.
     AnswerState state(bool checkDigest) const;
-    const std::optional<wire::CallEnd> &ending() const;
-    bool started() const;
+    const std::optional<wire::CallEnd> &endFrame() const;
+    /// True once the first frame has been returned.
+    bool hasStarted() const;
 
 private:
-    // Frames that came before their turn. Invariant: every key is greater than next_.
-    std::map<std::uint32_t, wire::CallFrame> early_;
-    std::uint32_t next_ = 0;
+    // Buffered out-of-order frames by sequence. Invariant: every key is greater than nextSequence_.
+    std::map<std::uint32_t, wire::CallFrame> earlyFrames_;
+    std::uint32_t nextSequence_ = 0;
     Digest digest_;
-    std::optional<wire::CallEnd> end_;
+    std::optional<wire::CallEnd> endFrame_;
 };
 
 } // namespace anvilscale
--- a/src/routing/demand_table.cpp
+++ b/src/routing/demand_table.cpp
@@ -1,25 +1,25 @@
-// Reports of sidecars as the load scheduler needs them.
+// Applies sidecar heartbeats and membership changes to the demand table.
 #include "demand_table.h"
 
 namespace anvilscale {
 
 namespace {
 
-bool isCopy(ResidencyState state)
+bool isResidentOrLoading(ResidencyState state)
 {
     return state == ResidencyState::Resident || state == ResidencyState::Loading;
 }
 
-Demand demandFrom(const wire::LoadDemand &in, TimePoint now)
+Demand demandFromWire(const wire::LoadDemand &in, TimePoint now)
 {
     Demand out;
-    out.which = AdapterVersion{in.adapter(), in.version()};
-    out.waiting = in.waiting();
+    out.adapterVersion = AdapterVersion{in.adapter(), in.version()};
+    out.waitingCalls = in.waiting();
     out.callClass = fromWire(in.call_class(), CallClass::Bulk);
     out.oldestWait = Duration(in.oldest_wait_us());
-    out.leastBudget = Duration(in.least_budget_us());
-    out.rate = in.rate();
-    out.evictable = in.evictable_slot();
+    out.minBudget = Duration(in.least_budget_us());
+    out.callRate = in.rate();
+    out.hasEvictableSlot = in.evictable_slot();
     out.victimValue = in.victim_value();
     out.reportedAt = now;
     return out;
@@ -27,20 +27,20 @@
 
 } // namespace
 
-void DemandTable::setAdapter(DemandingSidecar &sidecar, std::uint64_t key, ResidencyState state)
+void DemandTable::setAdapter(SidecarLoadState &sidecar, std::uint64_t key, ResidencyState state)
 {
-    const auto known = sidecar.adapters.find(key);
-    const auto before = known == sidecar.adapters.end() ? ResidencyState::Absent : known->second;
-    loading_ -= before == ResidencyState::Loading ? 1 : 0;
-    loading_ += state == ResidencyState::Loading ? 1 : 0;
-    if (isCopy(before) && !isCopy(state)) {
-        const auto count = copies_.find(key);
+    const auto position = sidecar.adapters.find(key);
+    const auto previousState = position == sidecar.adapters.end() ? ResidencyState::Absent : position->second;
+    loadingCount_ -= previousState == ResidencyState::Loading ? 1 : 0;
+    loadingCount_ += state == ResidencyState::Loading ? 1 : 0;
+    if (isResidentOrLoading(previousState) && !isResidentOrLoading(state)) {
+        const auto count = copyCounts_.find(key);
         if (--count->second == 0) {
-            copies_.erase(count);
+            copyCounts_.erase(count);
         }
     }
-    if (!isCopy(before) && isCopy(state)) {
-        ++copies_[key];
+    if (!isResidentOrLoading(previousState) && isResidentOrLoading(state)) {
+        ++copyCounts_[key];
     }
     if (state == ResidencyState::Absent) {
         sidecar.adapters.erase(key);
@@ -49,7 +49,7 @@
     }
 }
 
-void DemandTable::clearAdapters(DemandingSidecar &sidecar)
+void DemandTable::clearAdapters(SidecarLoadState &sidecar)
 {
     const auto adapters = sidecar.adapters;
     for (const auto &[key, state] : adapters) {
@@ -57,9 +57,8 @@
     }
 }
 
-/// A sidecar that fell silent in mid-load says no more how that load goes. Counted on, it would hold up all loads of
-/// the fleet until the sidecar is given up.
-void DemandTable::loseLoads(DemandingSidecar &sidecar)
+/// Prevents a load of an unresponsive sidecar from blocking all other loads until the sidecar is removed.
+void DemandTable::markLoadsUnknown(SidecarLoadState &sidecar)
 {
     const auto adapters = sidecar.adapters;
     for (const auto &[key, state] : adapters) {
@@ -69,10 +68,10 @@
     }
 }
 
-void DemandTable::reset(DemandingSidecar &sidecar, std::uint64_t incarnation)
+void DemandTable::reset(SidecarLoadState &sidecar, std::uint64_t incarnation)
 {
     clearAdapters(sidecar);
-    sidecar = DemandingSidecar{};
+    sidecar = SidecarLoadState{};
     sidecar.incarnation = incarnation;
 }
 
@@ -80,19 +79,19 @@
 {
     auto &sidecar = sidecars_[heartbeat.from().name()];
     const auto incarnation = heartbeat.from().incarnation();
-    const bool old = incarnation < sidecar.incarnation;
-    const bool seen =
+    const bool isOutdated = incarnation < sidecar.incarnation;
+    const bool isDuplicate =
         incarnation == sidecar.incarnation && heartbeat.sequence() <= sidecar.sequence && sidecar.sequence != 0;
-    if (old || seen) {
+    if (isOutdated || isDuplicate) {
         return false;
     }
-    const bool restarted = incarnation > sidecar.incarnation;
-    const bool known = sidecar.incarnation != 0;
-    if (restarted) {
+    const bool hasRestarted = incarnation > sidecar.incarnation;
+    const bool isKnown = sidecar.incarnation != 0;
+    if (hasRestarted) {
         reset(sidecar, incarnation);
     }
     sidecar.sequence = heartbeat.sequence();
-    sidecar.takesLoads = heartbeat.admitting() && !heartbeat.leaving();
+    sidecar.acceptsLoads = heartbeat.admitting() && !heartbeat.leaving();
     if (heartbeat.full()) {
         clearAdapters(sidecar);
     }
@@ -100,18 +99,18 @@
         const auto key = AdapterVersion{state.adapter(), state.version()}.key64();
         setAdapter(sidecar, key, fromWire(state.state(), ResidencyState::Unknown));
     }
-    // No change of the member may follow: a sidecar that ends while it is leaving, or suspect already, would hold up
-    // all loads of the fleet by the load that its last heartbeat tells of.
-    if (heartbeat.leaving() || sidecar.suspect) {
-        loseLoads(sidecar);
+    // Membership may not change again after the last heartbeat of a leaving or suspect sidecar. Its load must not block
+    // all other loads.
+    if (heartbeat.leaving() || sidecar.isSuspect) {
+        markLoadsUnknown(sidecar);
     }
     sidecar.demands.clear();
     for (const auto &demand : heartbeat.demands()) {
         const auto key = AdapterVersion{demand.adapter(), demand.version()}.key64();
-        sidecar.demands[key] = demandFrom(demand, now);
+        sidecar.demands[key] = demandFromWire(demand, now);
     }
-    noteDemands(heartbeat.from().name(), sidecar);
-    return restarted && known;
+    updateDemandIndex(heartbeat.from().name(), sidecar);
+    return hasRestarted && isKnown;
 }
 
 bool DemandTable::onMember(const Member &member)
@@ -123,32 +122,32 @@
     if (member.incarnation < sidecar.incarnation) {
         return false;
     }
-    const bool fresh = member.incarnation > sidecar.incarnation;
-    if (fresh) {
+    const bool isNew = member.incarnation > sidecar.incarnation;
+    if (isNew) {
         reset(sidecar, member.incarnation);
     }
-    sidecar.suspect = member.state != MemberState::Live;
-    if (sidecar.suspect) {
-        loseLoads(sidecar);
+    sidecar.isSuspect = member.state != MemberState::Live;
+    if (sidecar.isSuspect) {
+        markLoadsUnknown(sidecar);
     }
     const bool final = member.state == MemberState::Leaving || member.state == MemberState::Gone;
     if (final) {
-        sidecar.takesLoads = false;
+        sidecar.acceptsLoads = false;
         sidecar.demands.clear();
     }
     if (member.state == MemberState::Gone) {
         clearAdapters(sidecar);
     }
-    noteDemands(member.name, sidecar);
-    return fresh;
+    updateDemandIndex(member.name, sidecar);
+    return isNew;
 }
 
-void DemandTable::noteDemands(const std::string &name, const DemandingSidecar &sidecar)
+void DemandTable::updateDemandIndex(const std::string &name, const SidecarLoadState &sidecar)
 {
     if (sidecar.demands.empty()) {
-        demanding_.erase(name);
+        sidecarsWithDemand_.erase(name);
     } else {
-        demanding_[name] = &sidecar;
+        sidecarsWithDemand_[name] = &sidecar;
     }
 }
 
@@ -157,20 +156,20 @@
     const auto position = sidecars_.find(sidecar);
     if (position != sidecars_.end()) {
         position->second.demands.erase(key);
-        noteDemands(sidecar, position->second);
+        updateDemandIndex(sidecar, position->second);
     }
 }
 
-std::uint32_t DemandTable::copies(std::uint64_t key) const
+std::uint32_t DemandTable::copyCount(std::uint64_t key) const
 {
-    const auto position = copies_.find(key);
-    return position == copies_.end() ? 0 : position->second;
+    const auto position = copyCounts_.find(key);
+    return position == copyCounts_.end() ? 0 : position->second;
 }
 
-std::uint32_t DemandTable::demands() const
+std::uint32_t DemandTable::demandCount() const
 {
     std::uint32_t sum = 0;
-    for (const auto &[name, sidecar] : demanding_) {
+    for (const auto &[name, sidecar] : sidecarsWithDemand_) {
         sum += static_cast<std::uint32_t>(sidecar->demands.size());
     }
     return sum;
--- a/src/routing/demand_table.h
+++ b/src/routing/demand_table.h
@@ -1,4 +1,4 @@
-// What the load scheduler knows: who is where, and which sidecar wants which adapter.
+// Adapter residency and load demand of all sidecars, as reported to the load scheduler.
 #pragma once
 
 #include "wire.pb.h"
@@ -12,69 +12,74 @@
 
 namespace anvilscale {
 
-/// One adapter version wanted at one sidecar.
+/// Demand of one sidecar for one adapter version.
 struct Demand
 {
-    AdapterVersion which;
-    std::uint32_t waiting = 0; ///< 0: expected demand only (prefetch)
+    AdapterVersion adapterVersion;
+    std::uint32_t waitingCalls = 0; ///< 0 for expected demand only (prefetch)
     CallClass callClass = CallClass::Bulk;
-    Duration oldestWait{}; ///< when the report came
-    Duration leastBudget{};
-    double rate = 0.0;
-    bool evictable = false;
-    double victimValue = 0.0;
+    Duration oldestWait{}; ///< longest wait of a call at `reportedAt`
+    Duration minBudget{}; ///< shortest time that a waiting call had left at `reportedAt`; 0 if unknown
+    double callRate = 0.0; ///< calls per second, decayed
+    bool hasEvictableSlot = false; ///< a slot is free or can be freed
+    double victimValue = 0.0; ///< cost of the eviction; 0 for a free slot
     TimePoint reportedAt;
 };
 
-struct DemandingSidecar
+/// State of one sidecar as last reported.
+struct SidecarLoadState
 {
     std::uint64_t incarnation = 0;
-    bool takesLoads = false; ///< admitting, not leaving, live
-    bool suspect = false;
+    bool acceptsLoads = false; ///< admitting and not leaving
+    bool isSuspect = false;
     std::uint64_t sequence = 0;
     std::map<std::uint64_t, ResidencyState> adapters; ///< by key64
     std::map<std::uint64_t, Demand> demands; ///< by key64
 };
 
+/// Index of residency and demand over all sidecars.
 class DemandTable
 {
 public:
-    /// True if the incarnation is new: loads given to the older one are lost.
+    /// Returns true if a known sidecar restarted: loads granted to its previous incarnation are lost.
     bool onHeartbeat(const wire::Heartbeat &heartbeat, TimePoint now);
+    /// Returns true if the incarnation is new.
     bool onMember(const Member &member);
     void dropDemand(const std::string &sidecar, std::uint64_t key);
-    const std::map<std::string, DemandingSidecar> &sidecars() const
+    const std::map<std::string, SidecarLoadState> &sidecars() const
     {
         return sidecars_;
     }
-    /// Those with demands, by name.
-    const std::map<std::string, const DemandingSidecar *> &demanding() const
+    /// Sidecars with at least one demand, by name.
+    const std::map<std::string, const SidecarLoadState *> &sidecarsWithDemand() const
     {
-        return demanding_;
+        return sidecarsWithDemand_;
     }
-    /// Sidecars where the adapter is resident or loading.
-    std::uint32_t copies(std::uint64_t key) const;
-    std::uint32_t loading() const
+    /// Number of sidecars where the adapter is resident or loading.
+    std::uint32_t copyCount(std::uint64_t key) const;
+    /// Number of loads that sidecars report as running.
+    std::uint32_t loadingCount() const
     {
-        return loading_;
+        return loadingCount_;
     }
-    std::uint32_t demands() const;
+    /// Number of demands of all sidecars.
+    std::uint32_t demandCount() const;
 
 private:
-    void setAdapter(DemandingSidecar &sidecar, std::uint64_t key, ResidencyState state);
-    void clearAdapters(DemandingSidecar &sidecar);
-    void loseLoads(DemandingSidecar &sidecar);
-    void reset(DemandingSidecar &sidecar, std::uint64_t incarnation);
+    void setAdapter(SidecarLoadState &sidecar, std::uint64_t key, ResidencyState state);
+    void clearAdapters(SidecarLoadState &sidecar);
+    void markLoadsUnknown(SidecarLoadState &sidecar);
+    void reset(SidecarLoadState &sidecar, std::uint64_t incarnation);
 
-    void noteDemands(const std::string &name, const DemandingSidecar &sidecar);
+    void updateDemandIndex(const std::string &name, const SidecarLoadState &sidecar);
 
-    std::map<std::string, DemandingSidecar> sidecars_; // in order of name: grants do not depend on hashing
-    // Invariant: exactly the sidecars whose `demands` is not empty. A grant looks at these only: most sidecars of a
-    // large fleet want nothing at any one time.
-    std::map<std::string, const DemandingSidecar *> demanding_;
-    // Invariant: counts the Resident and Loading states of sidecars_; never holds a zero.
-    std::unordered_map<std::uint64_t, std::uint32_t> copies_;
-    std::uint32_t loading_ = 0;
+    std::map<std::string, SidecarLoadState> sidecars_; // ordered by name, which keeps grants deterministic
+    // Invariant: exactly the sidecars whose `demands` is not empty. Keeps the cost of a grant independent of idle
+    // sidecars.
+    std::map<std::string, const SidecarLoadState *> sidecarsWithDemand_;
+    // By key64. Invariant: counts the Resident and Loading states in sidecars_; no count is zero.
+    std::unordered_map<std::uint64_t, std::uint32_t> copyCounts_;
+    std::uint32_t loadingCount_ = 0;
 };
 
 } // namespace anvilscale
--- a/src/routing/entry_attempts_impl.h
+++ b/src/routing/entry_attempts_impl.h
@@ -1,5 +1,4 @@
-// Attempts of an entry's calls: sending, matching what comes back, retries and hedges. Definitions of EntryCore,
-// included by entry_core.cpp only.
+// EntryCore: sending of attempts, matching of replies and retries. Included by entry_core.cpp only.
 #pragma once
 
 #include "entry_core.h"
@@ -8,11 +7,11 @@
 
 namespace anvilscale {
 
-// Attempts of one call, the first included. More only spread a fault.
-constexpr std::size_t maximumAttempts = 4;
+// Per call, including the first attempt. Limits how far a fault spreads.
+constexpr std::size_t maxAttempts = 4;
 
-template<class Way>
-wire::Envelope EntryCore<Way>::requestMessage(const EntryCall &call, const Attempt &attempt, Now now) const
+template<class Traits>
+wire::Envelope EntryCore<Traits>::makeRequestMessage(const EntryCall &call, const Attempt &attempt, Now now) const
 {
     wire::Envelope message;
     message.set_protocol(wireProtocol);
@@ -26,10 +25,10 @@
     out.set_version(call.target.version);
     out.set_config_revision(call.revision);
     out.set_call_class(static_cast<std::uint32_t>(call.callClass));
-    out.set_idempotent(call.idempotent);
+    out.set_idempotent(call.isIdempotent);
     out.set_key(call.request.key);
     out.set_slot_fence(init_.safeguards.slotFence ? attempt.slotFence : 0);
-    out.set_budget_us(static_cast<std::uint64_t>(call.left(now.mono).count()));
+    out.set_budget_us(static_cast<std::uint64_t>(call.timeLeft(now.mono).count()));
     out.set_stream(call.request.stream);
     out.set_method(call.request.method);
     out.set_path(call.request.path);
@@ -47,8 +46,8 @@
     return message;
 }
 
-template<class Way>
-void EntryCore<Way>::send(EntryCall &call, SidecarIndex sidecar, std::uint64_t slotFence, Now now)
+template<class Traits>
+void EntryCore<Traits>::send(EntryCall &call, SidecarIndex sidecar, std::uint64_t slotFence, Now now)
 {
     Attempt attempt;
     attempt.number = static_cast<std::uint32_t>(call.attempts.size() + 1);
@@ -57,30 +56,30 @@
     attempt.slotFence = slotFence;
     attempt.sentAt = now.mono;
     ++stats_.attempts;
-    fleet_.onSent(sidecar, call.adapterKey, now.mono);
-    repeats_.note(call.request.key, sidecar, now.mono);
-    actions_.emplace_back(SendToSidecar{fleet_.at(sidecar).name, requestMessage(call, attempt, now)});
+    fleet_.onAttemptSent(sidecar, call.adapterKey, now.mono);
+    recentRequests_.record(call.request.key, sidecar, now.mono);
+    actions_.emplace_back(SendToSidecar{fleet_.at(sidecar).name, makeRequestMessage(call, attempt, now)});
     call.attempts.push_back(std::move(attempt));
-    call.tried.push_back(sidecar);
+    call.triedSidecars.push_back(sidecar);
 }
 
-template<class Way>
-void EntryCore<Way>::closeAttempt(Attempt &attempt, AttemptFate fate)
+template<class Traits>
+void EntryCore<Traits>::closeAttempt(Attempt &attempt, AttemptOutcome outcome)
 {
-    attempt.fate = fate;
+    attempt.outcome = outcome;
     if (attempt.gapTimer) {
         init_.timers->cancel(attempt.gapTimer);
         attempt.gapTimer = TimerHandle{};
     }
-    if (!attempt.open) {
+    if (!attempt.isOpen) {
         return;
     }
-    attempt.open = false;
-    fleet_.onEnded(attempt.sidecar);
+    attempt.isOpen = false;
+    fleet_.onAttemptClosed(attempt.sidecar);
 }
 
-template<class Way>
-void EntryCore<Way>::cancel(EntryCall &call, Attempt &attempt, bool callerGone)
+template<class Traits>
+void EntryCore<Traits>::cancel(EntryCall &call, Attempt &attempt, bool isCallerGone)
 {
     wire::Envelope message;
     message.set_protocol(wireProtocol);
@@ -88,17 +87,17 @@
     out.mutable_id()->set_entry_incarnation(init_.incarnation);
     out.mutable_id()->set_call(call.handle.value);
     out.mutable_id()->set_attempt(attempt.number);
-    out.set_caller_gone(callerGone);
+    out.set_caller_gone(isCallerGone);
     actions_.emplace_back(SendToSidecar{fleet_.at(attempt.sidecar).name, std::move(message)});
-    closeAttempt(attempt, attempt.fate);
+    closeAttempt(attempt, attempt.outcome);
 }
 
-template<class Way>
-void EntryCore<Way>::onCallerTook(CallHandle handle, std::uint64_t bytes)
+template<class Traits>
+void EntryCore<Traits>::onCallerRead(CallHandle handle, std::uint64_t bytes)
 {
-    auto *call = find(handle);
-    auto *attempt = call == nullptr ? nullptr : call->attempt(call->winner);
-    if (attempt == nullptr || !attempt->open) {
+    auto *call = findCall(handle);
+    auto *attempt = call == nullptr ? nullptr : call->attempt(call->answeringAttempt);
+    if (attempt == nullptr || !attempt->isOpen) {
         return;
     }
     wire::Envelope message;
@@ -111,31 +110,32 @@
     actions_.emplace_back(SendToSidecar{fleet_.at(attempt->sidecar).name, std::move(message)});
 }
 
-/// The open attempt that a message belongs to. A late, crossed or duplicate message of another attempt, another start
-/// of this entry or another sidecar finds none: else its bytes would reach the wrong caller.
-template<class Way>
-std::pair<EntryCall *, Attempt *> EntryCore<Way>::match(const std::string &sidecar, const wire::AttemptId &id)
+/// Returns the open attempt that a message belongs to, or nulls for a message of another attempt, sidecar or
+/// incarnation of this entry. Prevents late or misrouted bytes from reaching the wrong caller.
+template<class Traits>
+std::pair<EntryCall *, Attempt *> EntryCore<Traits>::findOpenAttempt(const std::string &sidecar,
+                                                                     const wire::AttemptId &id)
 {
-    auto *call = find(CallHandle{id.call()});
+    auto *call = findCall(CallHandle{id.call()});
     if (call != nullptr && !init_.safeguards.frameMatch) {
         for (auto &attempt : call->attempts) {
-            if (attempt.open) {
+            if (attempt.isOpen) {
                 return {call, &attempt};
             }
         }
     }
     auto *attempt = call == nullptr ? nullptr : call->attempt(id.attempt());
-    const bool matches = attempt != nullptr && attempt->open && id.entry_incarnation() == init_.incarnation
-                         && fleet_.at(attempt->sidecar).name == sidecar;
-    if (!matches) {
+    const bool isMatching = attempt != nullptr && attempt->isOpen && id.entry_incarnation() == init_.incarnation
+                            && fleet_.at(attempt->sidecar).name == sidecar;
+    if (!isMatching) {
         ++stats_.droppedFrames;
         return {nullptr, nullptr};
     }
     return {call, attempt};
 }
 
-template<class Way>
-void EntryCore<Way>::onMessage(const std::string &sidecar, const wire::Envelope &message, Now now)
+template<class Traits>
+void EntryCore<Traits>::onMessage(const std::string &sidecar, const wire::Envelope &message, Now now)
 {
     if (message.protocol() != wireProtocol) {
         ++stats_.droppedFrames;
@@ -162,57 +162,61 @@
     }
 }
 
-/// A call that may have run is only repeated if it is idempotent: else a second run doubles an admission.
-template<class Way>
-bool EntryCore<Way>::mayRetry(const EntryCall &call, AttemptFate lastFate) const
+/// A call that may have run is retried only if it is idempotent. Prevents a second execution of an admission.
+template<class Traits>
+bool EntryCore<Traits>::mayRetry(const EntryCall &call, AttemptOutcome lastOutcome) const
 {
-    if (call.delivered && init_.safeguards.spliceGuard) {
+    if (call.hasDelivered && init_.safeguards.spliceGuard) {
         return false;
     }
-    if (call.attempts.size() >= maximumAttempts) {
+    if (call.attempts.size() >= maxAttempts) {
         return false;
     }
-    const bool knownNotRun = lastFate == AttemptFate::NeverSent || lastFate == AttemptFate::RefusedNotRun;
-    return knownNotRun || call.idempotent || !init_.safeguards.retryOnlySafe;
+    const bool isProvenNotRun =
+        lastOutcome == AttemptOutcome::NeverSent || lastOutcome == AttemptOutcome::RefusedNotRun;
+    return isProvenNotRun || call.isIdempotent || !init_.safeguards.retryOnlySafe;
 }
 
-template<class Way>
-void EntryCore<Way>::retryOrFail(EntryCall &call, RetryReason why, CallError error, Now now)
+template<class Traits>
+void EntryCore<Traits>::retryOrFail(EntryCall &call, RetryReason reason, CallError error, Now now)
 {
-    if (call.anyOpen()) {
+    if (call.hasOpenAttempt()) {
         return;
     }
-    const auto lastFate = call.attempts.back().fate;
-    if (!mayRetry(call, lastFate) || call.left(now.mono) <= Duration{}) {
+    const auto lastOutcome = call.attempts.back().outcome;
+    if (!mayRetry(call, lastOutcome) || call.timeLeft(now.mono) <= Duration{}) {
         fail(call, error);
         return;
     }
-    // An attempt that was refused before it ran created no execution, so that its repeat costs no budget.
-    const bool createsExecution = lastFate != AttemptFate::NeverSent && lastFate != AttemptFate::RefusedNotRun;
-    if (createsExecution && !retries_.take(init_.config->policy().retryBudget, now.mono)) {
+    // An attempt refused before it ran created no execution, so its retry uses no budget.
+    const bool createsExecution =
+        lastOutcome != AttemptOutcome::NeverSent && lastOutcome != AttemptOutcome::RefusedNotRun;
+    if (createsExecution && !retryBudget_.take(init_.config->policy().retryBudget, now.mono)) {
         stats_.refusals.add(RefusalReason::RetryBudgetSpent);
         fail(call, error);
         return;
     }
-    call.held.clear();
+    call.heldFrames.clear();
     call.heldBytes = 0;
-    call.winner = 0;
-    if (!call.idempotent) {
-        stats_.retries.add(why);
+    call.answeringAttempt = 0;
+    if (!call.isIdempotent) {
+        stats_.retries.add(reason);
         dispatchToOwner(call, now);
         return;
     }
-    const auto choice = placement_.choose(fleet_, placementRequest(call, now.mono), random_);
-    const bool inTime = choice && (!Way::admitByDeadline || choice->expectedWait <= call.left(now.mono));
-    if (!inTime) {
+    const auto choice = placement_.choose(fleet_, makePlacementRequest(call, now.mono), random_);
+    const bool canMeetDeadline =
+        choice && (!Traits::hasDeadlineAdmission || choice->expectedWait <= call.timeLeft(now.mono));
+    if (!canMeetDeadline) {
         fail(call, error);
         return;
     }
-    stats_.retries.add(why);
+    stats_.retries.add(reason);
     send(call, choice->sidecar, 0, now);
 }
 
-inline bool finalRefusal(RefusalReason reason)
+/// Refusals that another attempt cannot change.
+inline bool isFinalRefusal(RefusalReason reason)
 {
     switch (reason) {
     case RefusalReason::BadRequest:
@@ -231,112 +235,113 @@
     }
 }
 
-/// Says that the refusal speaks for the key, not only for this attempt.
-inline bool ownerSpoke(RefusalReason reason)
+/// True if the refusal applies to the key, not only to this attempt.
+inline bool isOwnerDecision(RefusalReason reason)
 {
     return reason != RefusalReason::NotSlotOwner && reason != RefusalReason::SlotUnowned
            && reason != RefusalReason::Leaving && reason != RefusalReason::Recovering;
 }
 
-template<class Way>
-void EntryCore<Way>::noteRefusal(const EntryCall &call, const Attempt &attempt, const wire::CallRefused &refused)
+template<class Traits>
+void EntryCore<Traits>::applyRefusal(const EntryCall &call, const Attempt &attempt, const wire::CallRefused &refused)
 {
     const auto reason = fromWire(refused.reason(), RefusalReason::Internal);
     if (reason == RefusalReason::Leaving) {
         fleet_.markLeaving(attempt.sidecar);
     }
     if (reason == RefusalReason::NotSlotOwner) {
-        slots_.disown(call.request.service, call.slot, attempt.slotFence);
+        slots_.markNotOwner(call.request.service, call.slot, attempt.slotFence);
     }
 }
 
-template<class Way>
-void EntryCore<Way>::onRefused(const std::string &sidecar, const wire::CallRefused &refused, Now now)
+template<class Traits>
+void EntryCore<Traits>::onRefused(const std::string &sidecar, const wire::CallRefused &refused, Now now)
 {
-    const auto [call, attempt] = match(sidecar, refused.id());
+    const auto [call, attempt] = findOpenAttempt(sidecar, refused.id());
     if (call == nullptr) {
         return;
     }
     const auto reason = fromWire(refused.reason(), RefusalReason::Internal);
-    // A sidecar that has sent a part of the answer can't prove that the call did not run.
-    const bool proved = refused.proved_not_run() && !attempt->answer.started();
-    noteRefusal(*call, *attempt, refused);
-    closeAttempt(*attempt, proved ? AttemptFate::RefusedNotRun : AttemptFate::MayHaveRun);
-    const bool ownerProof = !call->idempotent && proved && ownerSpoke(reason) && attempt->slotFence != 0;
-    if (ownerProof) {
+    // A sidecar that has sent part of the answer cannot prove that the call did not run.
+    const bool isProvenNotRun = refused.proved_not_run() && !attempt->answer.hasStarted();
+    applyRefusal(*call, *attempt, refused);
+    closeAttempt(*attempt, isProvenNotRun ? AttemptOutcome::RefusedNotRun : AttemptOutcome::MayHaveRun);
+    const bool hasOwnerProof =
+        !call->isIdempotent && isProvenNotRun && isOwnerDecision(reason) && attempt->slotFence != 0;
+    if (hasOwnerProof) {
         call->keyProof = KeyProof::OwnerProved;
     }
     const CallError error{Verdict::OutcomeUnknown, reason, FailureReason::None, Duration(refused.retry_after_us())};
-    if (finalRefusal(reason) || !proved) {
+    if (isFinalRefusal(reason) || !isProvenNotRun) {
         fail(*call, error);
         return;
     }
-    const bool entryIsBehind =
+    const bool isConfigBehind =
         reason == RefusalReason::StaleRevision && refused.config_revision() > init_.config->revision();
-    if (entryIsBehind && mayRetry(*call, attempt->fate)) {
+    if (isConfigBehind && mayRetry(*call, attempt->outcome)) {
         stats_.retries.add(RetryReason::StaleRevision);
-        call->tried.clear();
-        wait(*call, error, refused.config_revision(), now);
+        call->triedSidecars.clear();
+        startWaiting(*call, error, refused.config_revision(), now);
         return;
     }
-    const bool slotMoved = reason == RefusalReason::NotSlotOwner || reason == RefusalReason::SlotUnowned
-                           || reason == RefusalReason::Leaving;
-    if (!call->idempotent && !slotMoved) {
-        // Only the owner may run it, and the owner said no: the caller is told at once.
+    const bool hasSlotMoved = reason == RefusalReason::NotSlotOwner || reason == RefusalReason::SlotUnowned
+                              || reason == RefusalReason::Leaving;
+    if (!call->isIdempotent && !hasSlotMoved) {
+        // Only the slot owner may run the call, and it refused: fail without a retry.
         fail(*call, error);
         return;
     }
-    retryOrFail(*call, slotMoved ? RetryReason::SlotMoved : RetryReason::Refused, error, now);
+    retryOrFail(*call, hasSlotMoved ? RetryReason::SlotMoved : RetryReason::Refused, error, now);
 }
 
-/// The first attempt whose answer begins is the one that is used; a hedge beside it is cancelled.
-template<class Way>
-bool EntryCore<Way>::takeLead(EntryCall &call, Attempt &attempt)
+/// Selects the first attempt whose answer starts and cancels the others. Returns false for any other attempt.
+template<class Traits>
+bool EntryCore<Traits>::selectAnswer(EntryCall &call, Attempt &attempt)
 {
-    if (call.winner == attempt.number) {
+    if (call.answeringAttempt == attempt.number) {
         return true;
     }
-    if (call.winner != 0 && init_.safeguards.spliceGuard) {
+    if (call.answeringAttempt != 0 && init_.safeguards.spliceGuard) {
         return false;
     }
-    call.winner = attempt.number;
+    call.answeringAttempt = attempt.number;
     for (auto &other : call.attempts) {
-        if (other.open && other.number != attempt.number) {
+        if (other.isOpen && other.number != attempt.number) {
             cancel(call, other, false);
         }
     }
     return true;
 }
 
-template<class Way>
-void EntryCore<Way>::deliver(EntryCall &call, const wire::CallFrame &frame)
+template<class Traits>
+void EntryCore<Traits>::deliver(EntryCall &call, const wire::CallFrame &frame)
 {
     DeliverFrame out;
     out.call = call.handle;
-    out.begin = !call.delivered;
+    out.begin = !call.hasDelivered;
     out.status = frame.status();
     for (const auto &header : frame.headers()) {
         out.headers.emplace_back(header.name(), header.value());
     }
     out.data = frame.data();
-    call.delivered = true;
+    call.hasDelivered = true;
     actions_.emplace_back(std::move(out));
 }
 
-template<class Way>
-void EntryCore<Way>::flushHeld(EntryCall &call)
+template<class Traits>
+void EntryCore<Traits>::deliverHeldFrames(EntryCall &call)
 {
-    for (const auto &frame : call.held) {
+    for (const auto &frame : call.heldFrames) {
         deliver(call, frame);
     }
-    call.held.clear();
+    call.heldFrames.clear();
     call.heldBytes = 0;
 }
 
-template<class Way>
-void EntryCore<Way>::onFrame(const std::string &sidecar, const wire::CallFrame &frame, Now now)
+template<class Traits>
+void EntryCore<Traits>::onFrame(const std::string &sidecar, const wire::CallFrame &frame, Now now)
 {
-    const auto [call, attempt] = match(sidecar, frame.id());
+    const auto [call, attempt] = findOpenAttempt(sidecar, frame.id());
     if (call == nullptr) {
         return;
     }
@@ -347,53 +352,54 @@
         ++stats_.droppedFrames;
         return;
     }
-    if (!ready.empty() && !takeLead(*call, *attempt)) {
+    if (!ready.empty() && !selectAnswer(*call, *attempt)) {
         return;
     }
     for (auto &each : ready) {
         call->heldBytes += each.data().size();
-        call->held.push_back(std::move(each));
+        call->heldFrames.push_back(std::move(each));
     }
-    // Held back only up to half the credit: the sidecar sends no more than the credit until the caller takes bytes.
-    const bool passOn = call->request.stream || call->delivered || call->heldBytes * 2 >= call->request.creditBytes;
-    if (passOn) {
-        flushHeld(*call);
+    // Holds back at most half the credit: the sidecar stops at the full credit until the caller reads bytes.
+    const bool shouldDeliver =
+        call->request.stream || call->hasDelivered || call->heldBytes * 2 >= call->request.creditBytes;
+    if (shouldDeliver) {
+        deliverHeldFrames(*call);
     }
-    settle(*call, *attempt, now);
+    evaluateAnswer(*call, *attempt, now);
 }
 
-template<class Way>
-void EntryCore<Way>::onEnd(const std::string &sidecar, const wire::CallEnd &end, Now now)
+template<class Traits>
+void EntryCore<Traits>::onEnd(const std::string &sidecar, const wire::CallEnd &end, Now now)
 {
-    const auto [call, attempt] = match(sidecar, end.id());
+    const auto [call, attempt] = findOpenAttempt(sidecar, end.id());
     if (call == nullptr) {
         return;
     }
-    attempt->answer.end(end);
-    settle(*call, *attempt, now);
+    attempt->answer.setEnd(end);
+    evaluateAnswer(*call, *attempt, now);
 }
 
-inline AttemptFate fateOf(const wire::CallEnd &end)
+inline AttemptOutcome attemptOutcomeOf(const wire::CallEnd &end)
 {
     const auto failure = fromWire(end.failure(), FailureReason::EndpointError);
     if (failure == FailureReason::EndpointUnreachable) {
-        return AttemptFate::RefusedNotRun;
+        return AttemptOutcome::RefusedNotRun;
     }
     const auto outcome = fromWire(end.outcome(), CallOutcome::Unknown);
-    return outcome == CallOutcome::Failed ? AttemptFate::RanAndFailed : AttemptFate::MayHaveRun;
+    return outcome == CallOutcome::Failed ? AttemptOutcome::RanAndFailed : AttemptOutcome::MayHaveRun;
 }
 
-template<class Way>
-void EntryCore<Way>::settle(EntryCall &call, Attempt &attempt, Now now)
+template<class Traits>
+void EntryCore<Traits>::evaluateAnswer(EntryCall &call, Attempt &attempt, Now now)
 {
-    const auto &end = attempt.answer.ending();
+    const auto &end = attempt.answer.endFrame();
     if (!end) {
         return;
     }
     const auto outcome = fromWire(end->outcome(), CallOutcome::Unknown);
     if (outcome != CallOutcome::Complete) {
         const auto failure = fromWire(end->failure(), FailureReason::EndpointError);
-        closeAttempt(attempt, fateOf(*end));
+        closeAttempt(attempt, attemptOutcomeOf(*end));
         const CallError error{Verdict::OutcomeUnknown, RefusalReason::None,
                               failure == FailureReason::None ? FailureReason::EndpointError : failure, Duration{}};
         retryOrFail(call, RetryReason::EngineFailed, error, now);
@@ -401,8 +407,8 @@
     }
     const auto state = attempt.answer.state(init_.safeguards.digestCheck && init_.safeguards.frameMatch);
     if (state == AnswerState::Whole) {
-        placement_.observeService(now.mono - attempt.sentAt - Duration(end->stall_us()));
-        takeLead(call, attempt);
+        placement_.recordServiceTime(now.mono - attempt.sentAt - Duration(end->stall_us()));
+        selectAnswer(call, attempt);
         finish(call, end->replayed());
         return;
     }
@@ -417,69 +423,69 @@
     const auto number = attempt.number;
     const auto wall = now.wall;
     attempt.gapTimer = init_.timers->subscribe(now.mono + init_.timing.suspect, [=, this](TimePoint at) {
-        auto *late = find(handle);
-        auto *lateAttempt = late == nullptr ? nullptr : late->attempt(number);
-        if (lateAttempt != nullptr && lateAttempt->open) {
-            lateAttempt->gapTimer = TimerHandle{};
-            onAnswerBroken(*late, *lateAttempt, Now{at, wall});
+        auto *openCall = findCall(handle);
+        auto *openAttempt = openCall == nullptr ? nullptr : openCall->attempt(number);
+        if (openAttempt != nullptr && openAttempt->isOpen) {
+            openAttempt->gapTimer = TimerHandle{};
+            onAnswerBroken(*openCall, *openAttempt, Now{at, wall});
         }
     });
 }
 
-/// The endpoint ran the call but its answer did not arrive whole: never reported as done or as not run.
-template<class Way>
-void EntryCore<Way>::onAnswerBroken(EntryCall &call, Attempt &attempt, Now now)
+/// Handles an incomplete answer. The call has run, so it is reported neither as complete nor as not run.
+template<class Traits>
+void EntryCore<Traits>::onAnswerBroken(EntryCall &call, Attempt &attempt, Now now)
 {
     ++stats_.brokenAnswers;
-    closeAttempt(attempt, AttemptFate::MayHaveRun);
+    closeAttempt(attempt, AttemptOutcome::MayHaveRun);
     const CallError error{Verdict::OutcomeUnknown, RefusalReason::None, FailureReason::AnswerIncomplete, Duration{}};
     retryOrFail(call, RetryReason::BrokenAnswer, error, now);
 }
 
-template<class Way>
-void EntryCore<Way>::onSendFailed(const std::string &sidecar, const wire::AttemptId &id, Now now)
+template<class Traits>
+void EntryCore<Traits>::onSendFailed(const std::string &sidecar, const wire::AttemptId &id, Now now)
 {
-    const auto [call, attempt] = match(sidecar, id);
+    const auto [call, attempt] = findOpenAttempt(sidecar, id);
     if (call == nullptr) {
         return;
     }
-    closeAttempt(*attempt, attempt->answer.started() ? AttemptFate::MayHaveRun : AttemptFate::NeverSent);
+    closeAttempt(*attempt, attempt->answer.hasStarted() ? AttemptOutcome::MayHaveRun : AttemptOutcome::NeverSent);
     const CallError error{Verdict::OutcomeUnknown, RefusalReason::NoEndpoint, FailureReason::None, Seconds(1)};
     retryOrFail(*call, RetryReason::SidecarLost, error, now);
 }
 
-template<class Way>
-void EntryCore<Way>::loseAttempts(SidecarIndex sidecar, std::uint64_t currentIncarnation, bool gone, Now now)
+template<class Traits>
+void EntryCore<Traits>::closeLostAttempts(SidecarIndex sidecar, std::uint64_t currentIncarnation, bool isGone, Now now)
 {
     for (const auto handle : sortedCalls()) {
-        auto *call = find(handle);
-        bool lost = false;
+        auto *call = findCall(handle);
+        bool hasLostAttempts = false;
         for (auto &attempt : call->attempts) {
             const bool isLost =
-                attempt.open && attempt.sidecar == sidecar && (gone || attempt.incarnation < currentIncarnation);
+                attempt.isOpen && attempt.sidecar == sidecar && (isGone || attempt.incarnation < currentIncarnation);
             if (isLost) {
-                closeAttempt(attempt, AttemptFate::MayHaveRun);
-                lost = true;
+                closeAttempt(attempt, AttemptOutcome::MayHaveRun);
+                hasLostAttempts = true;
             }
         }
-        if (lost) {
+        if (hasLostAttempts) {
             const CallError error{Verdict::OutcomeUnknown, RefusalReason::None, FailureReason::SidecarLost, Duration{}};
             retryOrFail(*call, RetryReason::SidecarLost, error, now);
         }
     }
 }
 
-// Without this, a call whose frames were lost with the connection would wait for its deadline.
-template<class Way>
-void EntryCore<Way>::onConversationLost(const std::string &sidecar, Now now)
+/// Prevents a call whose frames were lost with the connection from waiting until its deadline.
+template<class Traits>
+void EntryCore<Traits>::onConnectionLost(const std::string &sidecar, Now now)
 {
-    if (const auto known = fleet_.find(sidecar)) {
-        loseAttempts(*known, 0, true, now);
+    if (const auto existingSidecar = fleet_.find(sidecar)) {
+        closeLostAttempts(*existingSidecar, 0, true, now);
     }
 }
 
-template<class Way>
-void EntryCore<Way>::sayHello(const std::string &sidecar, bool wantFull)
+template<class Traits>
+void EntryCore<Traits>::sendHello(const std::string &sidecar, bool requestFull)
 {
     wire::Envelope message;
     message.set_protocol(wireProtocol);
@@ -487,66 +493,66 @@
     hello.mutable_from()->set_name(init_.name);
     hello.mutable_from()->set_incarnation(init_.incarnation);
     hello.set_data_centre(init_.dataCentre);
-    hello.set_want_full(wantFull);
+    hello.set_want_full(requestFull);
     hello.set_config_revision(init_.config->revision());
     hello.set_config_digest(init_.config->digest());
     actions_.emplace_back(SendToSidecar{sidecar, std::move(message)});
 }
 
-template<class Way>
-void EntryCore<Way>::onReport(const wire::Heartbeat &report, Now now)
+template<class Traits>
+void EntryCore<Traits>::onReport(const wire::Heartbeat &report, Now now)
 {
-    const auto known = fleet_.find(report.from().name());
-    const bool wasRoutable = known && fleet_.at(*known).routable();
+    const auto existingSidecar = fleet_.find(report.from().name());
+    const bool wasRoutable = existingSidecar && fleet_.at(*existingSidecar).isRoutable();
     const auto result = fleet_.onReport(report);
     if (result == ReportResult::Stale) {
         return;
     }
     const auto sidecar = *fleet_.find(report.from().name());
     if (result == ReportResult::Restarted) {
-        loseAttempts(sidecar, report.from().incarnation(), false, now);
+        closeLostAttempts(sidecar, report.from().incarnation(), false, now);
     }
     if (result == ReportResult::Gap || (result == ReportResult::Restarted && !report.full())) {
-        sayHello(report.from().name(), true);
+        sendHello(report.from().name(), true);
     }
-    if (!wasRoutable && fleet_.at(sidecar).routable()) {
+    if (!wasRoutable && fleet_.at(sidecar).isRoutable()) {
         resumeForSidecar(sidecar, now);
     }
 }
 
-template<class Way>
-void EntryCore<Way>::onBeat(const std::string &sidecar, const wire::Beat &beat)
+template<class Traits>
+void EntryCore<Traits>::onBeat(const std::string &sidecar, const wire::Beat &beat)
 {
     if (fleet_.onBeat(sidecar, beat) == ReportResult::Gap) {
-        sayHello(sidecar, true);
+        sendHello(sidecar, true);
     }
 }
 
-template<class Way>
-void EntryCore<Way>::onMember(const Member &member, Now now)
+template<class Traits>
+void EntryCore<Traits>::onMember(const Member &member, Now now)
 {
     if (member.role != VmRole::Sidecar) {
         return;
     }
-    const auto known = fleet_.find(member.name);
-    const bool fresh = !known || fleet_.at(*known).incarnation < member.incarnation;
-    const bool wasRoutable = known && fleet_.at(*known).routable();
-    const bool lost = fleet_.onMember(member);
+    const auto existingSidecar = fleet_.find(member.name);
+    const bool isNew = !existingSidecar || fleet_.at(*existingSidecar).incarnation < member.incarnation;
+    const bool wasRoutable = existingSidecar && fleet_.at(*existingSidecar).isRoutable();
+    const bool hasLostAttempts = fleet_.onMember(member);
     const auto sidecar = *fleet_.find(member.name);
-    if (lost) {
-        loseAttempts(sidecar, member.incarnation, member.state == MemberState::Gone, now);
+    if (hasLostAttempts) {
+        closeLostAttempts(sidecar, member.incarnation, member.state == MemberState::Gone, now);
     }
-    if (fresh && member.state == MemberState::Live) {
-        sayHello(member.name, true);
+    if (isNew && member.state == MemberState::Live) {
+        sendHello(member.name, true);
     }
-    // A member that is live again after a suspicion: its next report finds it routable and resumes nothing.
-    if (!wasRoutable && fleet_.at(sidecar).routable()) {
+    // Resumes waiting calls when a suspect member is live again: its next report is no transition to routable.
+    if (!wasRoutable && fleet_.at(sidecar).isRoutable()) {
         resumeForSidecar(sidecar, now);
     }
 }
 
-template<class Way>
-void EntryCore<Way>::onSummary(const std::string &dataCentre, const wire::Heartbeat &summary, Now now)
+template<class Traits>
+void EntryCore<Traits>::onSummary(const std::string &dataCentre, const wire::Heartbeat &summary, Now now)
 {
     auto report = summary;
     report.set_data_centre(dataCentre);
--- a/src/routing/entry_calls_impl.h
+++ b/src/routing/entry_calls_impl.h
@@ -1,5 +1,4 @@
-// Calls of an entry: arrival, resolution at the configuration's revision, waiting, the end. Definitions of EntryCore,
-// included by entry_core.cpp only.
+// EntryCore: admission, resolution, waiting and completion of calls. Included by entry_core.cpp only.
 #pragma once
 
 #include "entry_core.h"
@@ -8,26 +7,26 @@
 
 namespace anvilscale {
 
-// Told to callers where nothing better is known.
+// Reported to callers if no better estimate exists.
 constexpr Duration defaultRetryAfter = Seconds(1);
-constexpr std::uint64_t defaultCredit = 256U << 10U;
+constexpr std::uint64_t defaultCreditBytes = 256U << 10U;
 
-template<class Way>
-EntryCore<Way>::EntryCore(EntryInit init)
+template<class Traits>
+EntryCore<Traits>::EntryCore(EntryInit init)
     : init_(std::move(init))
     , random_(init_.seed)
 {
 }
 
-template<class Way>
-EntryCall *EntryCore<Way>::find(CallHandle handle)
+template<class Traits>
+EntryCall *EntryCore<Traits>::findCall(CallHandle handle)
 {
     const auto position = calls_.find(handle.value);
     return position == calls_.end() ? nullptr : &position->second;
 }
 
-template<class Way>
-std::vector<CallHandle> EntryCore<Way>::sortedCalls() const
+template<class Traits>
+std::vector<CallHandle> EntryCore<Traits>::sortedCalls() const
 {
     std::vector<CallHandle> handles;
     handles.reserve(calls_.size());
@@ -38,8 +37,8 @@
     return handles;
 }
 
-template<class Way>
-RefusalReason EntryCore<Way>::resolveRoute(EntryCall &call) const
+template<class Traits>
+RefusalReason EntryCore<Traits>::resolveRoute(EntryCall &call) const
 {
     const auto route = init_.config->route(call.request.route);
     if (!route) {
@@ -49,29 +48,29 @@
     call.baseModel = route->baseModel;
     call.adapterKey = route->target.key64();
     call.callClass = route->callClass;
-    call.deadline = call.arrived + route->deadline;
-    call.idempotent = true;
+    call.deadline = call.arrivedAt + route->deadline;
+    call.isIdempotent = true;
     return RefusalReason::None;
 }
 
-template<class Way>
-RefusalReason EntryCore<Way>::resolveService(EntryCall &call) const
+template<class Traits>
+RefusalReason EntryCore<Traits>::resolveService(EntryCall &call) const
 {
     const auto service = init_.config->service(call.request.service);
     if (!service) {
         return RefusalReason::UnknownService;
     }
     call.callClass = service->callClass;
-    call.deadline = call.arrived + service->deadline;
-    call.idempotent = service->idempotent;
-    if (call.idempotent) {
+    call.deadline = call.arrivedAt + service->deadline;
+    call.isIdempotent = service->idempotent;
+    if (call.isIdempotent) {
         return RefusalReason::None;
     }
     if (call.request.key.empty()) {
         return RefusalReason::KeyMissing;
     }
     if (!keyTime(call.request.key)) {
-        // Every entry and sidecar refuses such a key, so that it never ran.
+        // Every entry and sidecar refuses an invalid key, so it has never run.
         call.keyProof = KeyProof::OwnerProved;
         return RefusalReason::KeyInvalid;
     }
@@ -79,39 +78,39 @@
     return RefusalReason::None;
 }
 
-template<class Way>
-RefusalReason EntryCore<Way>::resolve(EntryCall &call, Now now) const
+template<class Traits>
+RefusalReason EntryCore<Traits>::resolve(EntryCall &call, Now now) const
 {
     call.revision = init_.config->revision();
-    const auto result = call.request.service.empty() ? resolveRoute(call) : resolveService(call);
-    if (call.deadline == call.arrived) {
-        call.deadline = call.arrived + init_.config->policy().defaultDeadline;
+    const auto refusal = call.request.service.empty() ? resolveRoute(call) : resolveService(call);
+    if (call.deadline == call.arrivedAt) {
+        call.deadline = call.arrivedAt + init_.config->policy().defaultDeadline;
     }
     if (call.request.deadline) {
-        call.deadline = std::min(call.deadline, call.arrived + *call.request.deadline);
+        call.deadline = std::min(call.deadline, call.arrivedAt + *call.request.deadline);
     }
-    if (result == RefusalReason::None && call.deadline <= now.mono) {
+    if (refusal == RefusalReason::None && call.deadline <= now.mono) {
         return RefusalReason::DeadlinePassed;
     }
-    return result;
+    return refusal;
 }
 
-template<class Way>
-void EntryCore<Way>::onCall(CallHandle handle, CallerRequest request, Now now)
+template<class Traits>
+void EntryCore<Traits>::onCall(CallHandle handle, CallerRequest request, Now now)
 {
     ++stats_.calls;
     if (request.creditBytes == 0) {
-        request.creditBytes = defaultCredit;
+        request.creditBytes = defaultCreditBytes;
     }
-    const auto [position, fresh] = calls_.try_emplace(handle.value);
-    if (!fresh) {
+    const auto [position, isNew] = calls_.try_emplace(handle.value);
+    if (!isNew) {
         return;
     }
     auto &call = position->second;
     stats_.open = static_cast<std::uint32_t>(calls_.size());
     call.handle = handle;
     call.request = std::move(request);
-    call.arrived = now.mono;
+    call.arrivedAt = now.mono;
     call.keyProof = call.request.key.empty() ? KeyProof::NoKey : KeyProof::NotProved;
     const auto refusal = resolve(call, now);
     if (refusal != RefusalReason::None) {
@@ -120,12 +119,12 @@
     }
     call.deadlineTimer =
         init_.timers->subscribe(call.deadline, [this, handle](TimePoint at) { onDeadline(handle, at); });
-    retries_.countFirst(now.mono);
+    retryBudget_.countFirst(now.mono);
     dispatch(call, now);
 }
 
-template<class Way>
-PlacementRequest EntryCore<Way>::placementRequest(const EntryCall &call, TimePoint now) const
+template<class Traits>
+PlacementRequest EntryCore<Traits>::makePlacementRequest(const EntryCall &call, TimePoint now) const
 {
     PlacementRequest request;
     request.baseModel = call.baseModel;
@@ -133,7 +132,7 @@
     request.adapterKey = call.adapterKey;
     request.callClass = call.callClass;
     request.keyHash = call.request.key.empty() ? 0 : hash64(call.request.key);
-    request.tried = call.tried;
+    request.triedSidecars = call.triedSidecars;
     request.dataCentre = init_.dataCentre;
     request.region = init_.region;
     request.policy = &init_.config->policy();
@@ -141,88 +140,90 @@
     return request;
 }
 
-template<class Way>
-void EntryCore<Way>::dispatch(EntryCall &call, Now now)
+template<class Traits>
+void EntryCore<Traits>::dispatch(EntryCall &call, Now now)
 {
-    if (!call.idempotent) {
+    if (!call.isIdempotent) {
         dispatchToOwner(call, now);
         return;
     }
-    if (Way::followRepeats && dispatchRepeat(call, now)) {
+    if (Traits::hasRepeatAffinity && dispatchRepeat(call, now)) {
         return;
     }
-    const auto choice = placement_.choose(fleet_, placementRequest(call, now.mono), random_);
+    const auto choice = placement_.choose(fleet_, makePlacementRequest(call, now.mono), random_);
     if (!choice) {
         refuse(call, RefusalReason::NoEndpoint, defaultRetryAfter);
         return;
     }
-    // A call with a key may be a repeat that finds its place in a queue: its sidecar judges.
-    const bool judged = Way::admitByDeadline && init_.overload.refuseByDeadline && call.request.key.empty();
-    const bool tooLate = judged && choice->expectedWait > call.left(now.mono);
-    if (tooLate) {
-        refuse(call, RefusalReason::DeadlineUnreachable, choice->expectedWait - call.left(now.mono));
+    // A call with a key may be a repeat that is queued already. Its sidecar checks the deadline.
+    const bool isDeadlineChecked =
+        Traits::hasDeadlineAdmission && init_.overload.refuseByDeadline && call.request.key.empty();
+    const bool isTooLate = isDeadlineChecked && choice->expectedWait > call.timeLeft(now.mono);
+    if (isTooLate) {
+        refuse(call, RefusalReason::DeadlineUnreachable, choice->expectedWait - call.timeLeft(now.mono));
         return;
     }
     send(call, choice->sidecar, 0, now);
 }
 
-/// A repeat of a key that this entry has sent goes to the same sidecar, to attach there. Once the sidecar has dropped
-/// the place, the repeat makes a new execution, and those are what an overload lives from (Zhang and Wang): it is
-/// counted against the retry budget, and refused at once when that is spent.
-template<class Way>
-bool EntryCore<Way>::dispatchRepeat(EntryCall &call, Now now)
+/// Sends a repeated key to the sidecar of its previous call, where it can attach to that execution. A repeat after the
+/// cancel delay creates a new execution and is counted against the retry budget, which prevents repeats from sustaining
+/// an overload. Returns true if the call was sent or refused.
+template<class Traits>
+bool EntryCore<Traits>::dispatchRepeat(EntryCall &call, Now now)
 {
-    const auto sent = repeats_.find(call.request.key, now.mono);
-    if (!sent) {
+    const auto previousRequest = recentRequests_.find(call.request.key, now.mono);
+    if (!previousRequest) {
         return false;
     }
     const auto &policy = init_.config->policy();
-    const bool mayAttach = now.mono < sent->lastSeen + policy.cancelDelay;
-    if (!mayAttach && init_.overload.limitRepeats && !retries_.take(policy.retryBudget, now.mono)) {
+    const bool canAttach = now.mono < previousRequest->lastSeenAt + policy.cancelDelay;
+    if (!canAttach && init_.overload.limitRepeats && !retryBudget_.take(policy.retryBudget, now.mono)) {
         refuse(call, RefusalReason::RetryBudgetSpent, defaultRetryAfter + random_.jitter(2 * policy.cancelDelay));
         return true;
     }
-    if (!mayAttach || !fleet_.at(sent->sidecar).routable()) {
+    if (!canAttach || !fleet_.at(previousRequest->sidecar).isRoutable()) {
         return false;
     }
-    send(call, sent->sidecar, 0, now);
+    send(call, previousRequest->sidecar, 0, now);
     return true;
 }
 
-template<class Way>
-void EntryCore<Way>::dispatchToOwner(EntryCall &call, Now now)
+template<class Traits>
+void EntryCore<Traits>::dispatchToOwner(EntryCall &call, Now now)
 {
     const auto target = slots_.owner(call.request.service, call.slot);
     const auto sidecar = target ? fleet_.find(target->owner) : std::nullopt;
-    const bool reachable = sidecar && fleet_.at(*sidecar).member != MemberState::Gone
-                           && fleet_.at(*sidecar).incarnation == target->ownerIncarnation;
-    const bool takesWork = reachable && (!init_.safeguards.leavingGuard || fleet_.at(*sidecar).routable());
-    if (!takesWork) {
-        wait(call,
-             CallError{Verdict::OutcomeUnknown, RefusalReason::SlotUnowned, FailureReason::None, defaultRetryAfter}, 0,
-             now);
+    const bool isReachable = sidecar && fleet_.at(*sidecar).memberState != MemberState::Gone
+                             && fleet_.at(*sidecar).incarnation == target->ownerIncarnation;
+    const bool acceptsWork = isReachable && (!init_.safeguards.leavingGuard || fleet_.at(*sidecar).isRoutable());
+    if (!acceptsWork) {
+        startWaiting(
+            call,
+            CallError{Verdict::OutcomeUnknown, RefusalReason::SlotUnowned, FailureReason::None, defaultRetryAfter}, 0,
+            now);
         return;
     }
     send(call, *sidecar, target->fence, now);
 }
 
-template<class Way>
-void EntryCore<Way>::wait(EntryCall &call, CallError inVain, std::uint64_t revision, Now now)
+template<class Traits>
+void EntryCore<Traits>::startWaiting(EntryCall &call, CallError timeoutError, std::uint64_t revision, Now now)
 {
-    endWaiting(call);
-    call.waitError = inVain;
-    call.waitRevision = revision;
+    stopWaiting(call);
+    call.timeoutError = timeoutError;
+    call.awaitedRevision = revision;
     const auto handle = call.handle;
     const auto until = std::min(call.deadline, now.mono + init_.timing.heartbeat);
     call.waitTimer = init_.timers->subscribe(until, [this, handle](TimePoint) {
-        if (auto *waiting = find(handle)) {
-            refuse(*waiting, waiting->waitError.refusal, waiting->waitError.retryAfter);
+        if (auto *waitingCall = findCall(handle)) {
+            refuse(*waitingCall, waitingCall->timeoutError.refusal, waitingCall->timeoutError.retryAfter);
         }
     });
 }
 
-template<class Way>
-void EntryCore<Way>::endWaiting(EntryCall &call)
+template<class Traits>
+void EntryCore<Traits>::stopWaiting(EntryCall &call)
 {
     if (call.waitTimer) {
         init_.timers->cancel(call.waitTimer);
@@ -230,10 +231,10 @@
     }
 }
 
-template<class Way>
-void EntryCore<Way>::resume(EntryCall &call, Now now)
+template<class Traits>
+void EntryCore<Traits>::resume(EntryCall &call, Now now)
 {
-    endWaiting(call);
+    stopWaiting(call);
     const auto refusal = resolve(call, now);
     if (refusal != RefusalReason::None) {
         refuse(call, refusal, Duration{});
@@ -242,34 +243,34 @@
     dispatch(call, now);
 }
 
-template<class Way>
-Verdict EntryCore<Way>::verdict(const EntryCall &call) const
+template<class Traits>
+Verdict EntryCore<Traits>::computeVerdict(const EntryCall &call) const
 {
-    std::vector<AttemptFate> fates;
+    std::vector<AttemptOutcome> outcomes;
     for (const auto &attempt : call.attempts) {
-        fates.push_back(attempt.fate);
+        outcomes.push_back(attempt.outcome);
     }
     if (!init_.safeguards.notRunProof) {
-        return call.delivered ? Verdict::Failed : Verdict::NotRun;
+        return call.hasDelivered ? Verdict::Failed : Verdict::NotRun;
     }
-    return verdictOf(fates, call.keyProof);
+    return verdictOf(outcomes, call.keyProof);
 }
 
-template<class Way>
-void EntryCore<Way>::refuse(EntryCall &call, RefusalReason reason, Duration retryAfter)
+template<class Traits>
+void EntryCore<Traits>::refuse(EntryCall &call, RefusalReason reason, Duration retryAfter)
 {
     fail(call, CallError{Verdict::OutcomeUnknown, reason, FailureReason::None, retryAfter});
 }
 
-template<class Way>
-void EntryCore<Way>::fail(EntryCall &call, CallError error)
+template<class Traits>
+void EntryCore<Traits>::fail(EntryCall &call, CallError error)
 {
     for (auto &attempt : call.attempts) {
-        if (attempt.open) {
+        if (attempt.isOpen) {
             cancel(call, attempt, false);
         }
     }
-    error.verdict = verdict(call);
+    error.verdict = computeVerdict(call);
     stats_.verdicts.add(error.verdict);
     if (error.refusal != RefusalReason::None) {
         stats_.refusals.add(error.refusal);
@@ -282,35 +283,35 @@
     remove(call);
 }
 
-template<class Way>
-void EntryCore<Way>::finish(EntryCall &call, bool replayed)
+template<class Traits>
+void EntryCore<Traits>::finish(EntryCall &call, bool replayed)
 {
-    flushHeld(call);
+    deliverHeldFrames(call);
     ++stats_.finished;
     actions_.emplace_back(FinishCall{call.handle, replayed});
     remove(call);
 }
 
-template<class Way>
-void EntryCore<Way>::remove(EntryCall &call)
+template<class Traits>
+void EntryCore<Traits>::remove(EntryCall &call)
 {
-    endWaiting(call);
+    stopWaiting(call);
     for (const auto timer : {call.deadlineTimer, call.hedgeTimer}) {
         if (timer) {
             init_.timers->cancel(timer);
         }
     }
     for (auto &attempt : call.attempts) {
-        closeAttempt(attempt, attempt.fate);
+        closeAttempt(attempt, attempt.outcome);
     }
     calls_.erase(call.handle.value);
     stats_.open = static_cast<std::uint32_t>(calls_.size());
 }
 
-template<class Way>
-void EntryCore<Way>::onDeadline(CallHandle handle, TimePoint now)
+template<class Traits>
+void EntryCore<Traits>::onDeadline(CallHandle handle, TimePoint now)
 {
-    auto *call = find(handle);
+    auto *call = findCall(handle);
     if (call == nullptr) {
         return;
     }
@@ -319,77 +320,77 @@
         refuse(*call, RefusalReason::DeadlinePassed, Duration{});
         return;
     }
-    repeats_.note(call->request.key, call->attempts.back().sidecar, now);
+    recentRequests_.record(call->request.key, call->attempts.back().sidecar, now);
     fail(*call, CallError{Verdict::OutcomeUnknown, RefusalReason::None, FailureReason::DeadlinePassed, Duration{}});
 }
 
-template<class Way>
-void EntryCore<Way>::onCallerGone(CallHandle handle, FailureReason why, Now now)
+template<class Traits>
+void EntryCore<Traits>::onCallerGone(CallHandle handle, FailureReason reason, Now now)
 {
-    auto *call = find(handle);
+    auto *call = findCall(handle);
     if (call == nullptr) {
         return;
     }
     for (auto &attempt : call->attempts) {
-        if (attempt.open) {
+        if (attempt.isOpen) {
             cancel(*call, attempt, true);
         }
     }
     if (!call->attempts.empty()) {
-        repeats_.note(call->request.key, call->attempts.back().sidecar, now.mono);
+        recentRequests_.record(call->request.key, call->attempts.back().sidecar, now.mono);
     }
-    stats_.failures.add(why);
+    stats_.failures.add(reason);
     remove(*call);
 }
 
-template<class Way>
-void EntryCore<Way>::onConfigChanged(Now now)
+template<class Traits>
+void EntryCore<Traits>::onConfigChanged(Now now)
 {
     const auto revision = init_.config->revision();
     for (const auto handle : sortedCalls()) {
-        auto *call = find(handle);
-        const bool waitsForThis = call != nullptr && call->waitTimer && call->waitRevision != 0;
-        if (waitsForThis && call->waitRevision <= revision) {
+        auto *call = findCall(handle);
+        const bool isWaitingForRevision = call != nullptr && call->waitTimer && call->awaitedRevision != 0;
+        if (isWaitingForRevision && call->awaitedRevision <= revision) {
             resume(*call, now);
         }
     }
 }
 
-template<class Way>
-void EntryCore<Way>::onSlotTable(const config::SlotTable &table, Now now)
+template<class Traits>
+void EntryCore<Traits>::onSlotTable(const config::SlotTable &table, Now now)
 {
-    if (!slots_.update(table)) {
+    if (!slots_.applyTable(table)) {
         return;
     }
     for (const auto handle : sortedCalls()) {
-        auto *call = find(handle);
-        const bool waitsForSlot = call != nullptr && call->waitTimer && call->waitRevision == 0;
-        if (waitsForSlot && call->request.service == table.service() && slots_.owner(table.service(), call->slot)) {
+        auto *call = findCall(handle);
+        const bool isWaitingForSlot = call != nullptr && call->waitTimer && call->awaitedRevision == 0;
+        if (isWaitingForSlot && call->request.service == table.service() && slots_.owner(table.service(), call->slot)) {
             resume(*call, now);
         }
     }
 }
 
-template<class Way>
-void EntryCore<Way>::resumeForSidecar(SidecarIndex sidecar, Now now)
+template<class Traits>
+void EntryCore<Traits>::resumeForSidecar(SidecarIndex sidecar, Now now)
 {
     for (const auto handle : sortedCalls()) {
-        auto *call = find(handle);
-        const bool waitsForSlot = call != nullptr && call->waitTimer && call->waitRevision == 0;
-        const auto target = waitsForSlot ? slots_.owner(call->request.service, call->slot) : std::nullopt;
+        auto *call = findCall(handle);
+        const bool isWaitingForSlot = call != nullptr && call->waitTimer && call->awaitedRevision == 0;
+        const auto target = isWaitingForSlot ? slots_.owner(call->request.service, call->slot) : std::nullopt;
         if (target && target->owner == fleet_.at(sidecar).name) {
             resume(*call, now);
         }
     }
 }
 
-template<class Way>
-RouteExplanation EntryCore<Way>::explain(std::string_view route, Now now) const
+template<class Traits>
+RouteExplanation EntryCore<Traits>::explain(std::string_view route, Now now) const
 {
     RouteExplanation out;
     EntryCall call;
     call.request.route = std::string(route);
-    call.arrived = now.mono;
+    call.arrivedAt = now.mono;
     out.refusal = resolve(call, now);
     out.revision = call.revision;
     if (out.refusal != RefusalReason::None) {
@@ -399,11 +400,11 @@
     out.target = call.target;
     for (const auto index : fleet_.holders(call.adapterKey)) {
         const auto &view = fleet_.at(index);
-        const bool resident = view.adapters.at(call.adapterKey).state == ResidencyState::Resident;
-        (resident ? out.resident : out.loading).push_back(view.name);
+        const bool isResident = view.adapters.at(call.adapterKey).state == ResidencyState::Resident;
+        (isResident ? out.resident : out.loading).push_back(view.name);
     }
     auto random = random_;
-    const auto choice = placement_.choose(fleet_, placementRequest(call, now.mono), random);
+    const auto choice = placement_.choose(fleet_, makePlacementRequest(call, now.mono), random);
     if (choice) {
         out.choice = fleet_.at(choice->sidecar).name;
     } else {
--- a/src/routing/entry_core.cpp
+++ b/src/routing/entry_core.cpp
@@ -1,4 +1,4 @@
-// The two instances of the entry's state machine.
+// Explicit instantiations of the entry state machine.
 #include "entry_core.h"
 
 #include "entry_attempts_impl.h"
@@ -6,7 +6,7 @@
 
 namespace anvilscale {
 
-template class EntryCore<ProductWay>;
-template class EntryCore<NaiveWay>;
+template class EntryCore<ProductTraits>;
+template class EntryCore<NaiveTraits>;
 
 } // namespace anvilscale
--- a/src/routing/entry_decisions.cpp
+++ b/src/routing/entry_decisions.cpp
@@ -1,15 +1,15 @@
-// The public faces of the entry's state machine.
+// Public interface of the entry state machine.
 #include "entry_core.h"
 
 namespace anvilscale {
 
 struct EntryDecisions::Impl
 {
-    EntryCore<ProductWay> core;
+    EntryCore<ProductTraits> core;
 };
 
 EntryDecisions::EntryDecisions(EntryInit init)
-    : impl_(new Impl{EntryCore<ProductWay>(std::move(init))})
+    : impl_(new Impl{EntryCore<ProductTraits>(std::move(init))})
 {
 }
 
@@ -20,14 +20,14 @@
     impl_->core.onCall(call, std::move(request), now);
 }
 
-void EntryDecisions::onCallerGone(CallHandle call, FailureReason why, Now now)
+void EntryDecisions::onCallerGone(CallHandle call, FailureReason reason, Now now)
 {
-    impl_->core.onCallerGone(call, why, now);
+    impl_->core.onCallerGone(call, reason, now);
 }
 
 void EntryDecisions::onCallerTook(CallHandle call, std::uint64_t bytes, Now /*now*/)
 {
-    impl_->core.onCallerTook(call, bytes);
+    impl_->core.onCallerRead(call, bytes);
 }
 
 void EntryDecisions::onMessage(const std::string &sidecar, const wire::Envelope &message, Now now)
@@ -42,7 +42,7 @@
 
 void EntryDecisions::onConversationLost(const std::string &sidecar, Now now)
 {
-    impl_->core.onConversationLost(sidecar, now);
+    impl_->core.onConnectionLost(sidecar, now);
 }
 
 void EntryDecisions::onMember(const Member &member, Now now)
--- a/src/routing/fleet_view.cpp
+++ b/src/routing/fleet_view.cpp
@@ -1,4 +1,4 @@
-// Keeps the entry's picture of the sidecars.
+// Applies sidecar reports, beats and membership changes to the fleet view.
 #include "fleet_view.h"
 
 #include <algorithm>
@@ -7,12 +7,12 @@
 
 namespace {
 
-// A report that names the adapter comes within a few heartbeats; later the expectation is worth nothing.
-constexpr Duration expectationLife = Seconds(3);
+// A few heartbeats: by then a report lists the adapter, or the load did not happen.
+constexpr Duration expectationLifetime = Seconds(3);
 
 const std::vector<SidecarIndex> noSidecars;
 
-bool holdsSlot(ResidencyState state)
+bool occupiesSlot(ResidencyState state)
 {
     return state != ResidencyState::Absent;
 }
@@ -24,15 +24,15 @@
 
 bool isBusy(const AdapterView &adapter)
 {
-    return adapter.pins > 0 || adapter.waiting > 0 || adapter.state == ResidencyState::Loading;
+    return adapter.pins > 0 || adapter.waitingCalls > 0 || adapter.state == ResidencyState::Loading;
 }
 
 } // namespace
 
-SidecarIndex FleetView::ensure(const std::string &name)
+SidecarIndex FleetView::findOrAdd(const std::string &name)
 {
-    const auto [position, fresh] = byName_.try_emplace(name, static_cast<SidecarIndex>(sidecars_.size()));
-    if (fresh) {
+    const auto [position, isNew] = byName_.try_emplace(name, static_cast<SidecarIndex>(sidecars_.size()));
+    if (isNew) {
         sidecars_.emplace_back();
         sidecars_.back().name = name;
     }
@@ -61,14 +61,14 @@
     clearAdapters(sidecar);
     auto &view = sidecars_[sidecar];
     view.incarnation = incarnation;
-    view.heard = false;
-    view.leaving = false;
-    view.admitting = false;
+    view.hasReport = false;
+    view.isLeaving = false;
+    view.isAdmitting = false;
     view.sequence = 0;
-    view.running = 0;
-    view.queued = 0;
-    view.sentSince = 0;
-    view.member = MemberState::Live;
+    view.runningCalls = 0;
+    view.queuedCalls = 0;
+    view.sentSinceReport = 0;
+    view.memberState = MemberState::Live;
 }
 
 void FleetView::setAdapter(SidecarIndex sidecar, const wire::AdapterState &state)
@@ -84,55 +84,55 @@
     if (holders.empty()) {
         holders_.erase(key);
     }
-    if (!holdsSlot(residency)) {
+    if (!occupiesSlot(residency)) {
         view.adapters.erase(key);
         return;
     }
     view.adapters[key] = AdapterView{residency, state.pins(), state.waiting()};
 }
 
-void FleetView::join(Group &group, const std::string &name, SidecarIndex sidecar)
+void FleetView::addToGroup(GroupIndex &group, const std::string &name, SidecarIndex sidecar)
 {
     auto &members = group[name];
-    const auto place = std::lower_bound(members.begin(), members.end(), sidecar);
-    if (place == members.end() || *place != sidecar) {
-        members.insert(place, sidecar);
+    const auto position = std::lower_bound(members.begin(), members.end(), sidecar);
+    if (position == members.end() || *position != sidecar) {
+        members.insert(position, sidecar);
     }
 }
 
-void FleetView::takeLoad(SidecarView &view, const wire::Heartbeat &report)
+void FleetView::applyLoad(SidecarView &view, const wire::Heartbeat &report)
 {
-    view.heard = true;
-    view.leaving = view.leaving || report.leaving();
-    view.admitting = report.admitting();
+    view.hasReport = true;
+    view.isLeaving = view.isLeaving || report.leaving();
+    view.isAdmitting = report.admitting();
     view.dataCentre = report.data_centre();
     view.baseModel = report.base_model();
     view.slots = report.slots();
-    view.running = report.running();
-    view.queued = report.queued();
+    view.runningCalls = report.running();
+    view.queuedCalls = report.queued();
     view.batchLimit = std::max<std::uint32_t>(1, report.batch_limit());
     view.victimValue = report.victim_value();
     view.queueDelay = Duration(report.queue_delay_us());
-    view.sentSince = 0;
+    view.sentSinceReport = 0;
 }
 
 ReportResult FleetView::onReport(const wire::Heartbeat &report)
 {
-    const auto index = ensure(report.from().name());
+    const auto index = findOrAdd(report.from().name());
     const auto incarnation = report.from().incarnation();
     auto &view = sidecars_[index];
     if (incarnation < view.incarnation) {
         return ReportResult::Stale;
     }
-    const bool restarted = incarnation > view.incarnation;
-    if (restarted) {
+    const bool hasRestarted = incarnation > view.incarnation;
+    if (hasRestarted) {
         reset(index, incarnation);
     }
-    const bool seen = view.heard && report.sequence() <= view.sequence;
-    if (seen) {
+    const bool isDuplicate = view.hasReport && report.sequence() <= view.sequence;
+    if (isDuplicate) {
         return ReportResult::Stale;
     }
-    const bool gap = !report.full() && (!view.heard || report.sequence() != view.sequence + 1);
+    const bool hasGap = !report.full() && (!view.hasReport || report.sequence() != view.sequence + 1);
     if (report.full() || report.engine_incarnation() != view.engineIncarnation) {
         clearAdapters(index);
     }
@@ -145,18 +145,18 @@
     for (const auto &[key, adapter] : view.adapters) {
         view.busySlots += isBusy(adapter) ? 1 : 0;
     }
-    takeLoad(view, report);
+    applyLoad(view, report);
     if (!report.base_model().empty()) {
-        join(byModel_, report.base_model(), index);
+        addToGroup(byModel_, report.base_model(), index);
     }
     view.services.assign(report.services().begin(), report.services().end());
     for (const auto &service : view.services) {
-        join(byService_, service, index);
+        addToGroup(byService_, service, index);
     }
-    if (restarted) {
+    if (hasRestarted) {
         return ReportResult::Restarted;
     }
-    return gap ? ReportResult::Gap : ReportResult::Applied;
+    return hasGap ? ReportResult::Gap : ReportResult::Applied;
 }
 
 ReportResult FleetView::onBeat(std::string_view name, const wire::Beat &beat)
@@ -166,71 +166,71 @@
         return ReportResult::Gap;
     }
     auto &view = sidecars_[*index];
-    const bool sameStart = static_cast<std::uint32_t>(view.incarnation) == beat.incarnation_tag();
-    if (!view.heard || !sameStart || beat.sequence() > view.sequence + 1) {
+    const bool isSameIncarnation = static_cast<std::uint32_t>(view.incarnation) == beat.incarnation_tag();
+    if (!view.hasReport || !isSameIncarnation || beat.sequence() > view.sequence + 1) {
         return ReportResult::Gap;
     }
     if (beat.sequence() <= view.sequence) {
         return ReportResult::Stale;
     }
     view.sequence = beat.sequence();
-    view.running = beat.running();
-    view.queued = beat.queued();
+    view.runningCalls = beat.running();
+    view.queuedCalls = beat.queued();
     view.queueDelay = Duration(beat.queue_delay_us());
     view.busySlots = beat.busy_slots();
     view.victimValue = static_cast<double>(beat.victim_value());
-    view.sentSince = 0;
+    view.sentSinceReport = 0;
     return ReportResult::Applied;
 }
 
 bool FleetView::onMember(const Member &member)
 {
-    const auto index = ensure(member.name);
+    const auto index = findOrAdd(member.name);
     auto &view = sidecars_[index];
     if (member.incarnation < view.incarnation) {
         return false;
     }
-    const bool restarted = view.incarnation != 0 && member.incarnation > view.incarnation;
+    const bool hasRestarted = view.incarnation != 0 && member.incarnation > view.incarnation;
     if (member.incarnation > view.incarnation) {
         reset(index, member.incarnation);
     }
-    view.member = member.state;
-    view.leaving = view.leaving || member.state == MemberState::Leaving;
+    view.memberState = member.state;
+    view.isLeaving = view.isLeaving || member.state == MemberState::Leaving;
     view.dataCentre = member.dataCentre;
     view.region = member.region;
-    return restarted || member.state == MemberState::Gone;
+    return hasRestarted || member.state == MemberState::Gone;
 }
 
-void FleetView::forgetExpired(TimePoint now)
+void FleetView::removeExpired(TimePoint now)
 {
-    if (now < nextSweep_) {
+    if (now < nextExpiryCheck_) {
         return;
     }
-    std::erase_if(expected_, [&](const auto &item) { return item.second.until <= now; });
-    nextSweep_ = now + expectationLife;
+    std::erase_if(expectedLoads_, [&](const auto &item) { return item.second.until <= now; });
+    nextExpiryCheck_ = now + expectationLifetime;
 }
 
-void FleetView::onSent(SidecarIndex sidecar, std::uint64_t adapterKey, TimePoint now)
+void FleetView::onAttemptSent(SidecarIndex sidecar, std::uint64_t adapterKey, TimePoint now)
 {
     auto &view = sidecars_[sidecar];
-    ++view.sentSince;
-    ++view.open;
+    ++view.sentSinceReport;
+    ++view.openAttempts;
     if (adapterKey != 0 && !view.adapters.contains(adapterKey)) {
-        forgetExpired(now);
-        expected_[adapterKey] = Expectation{sidecar, now + expectationLife};
+        removeExpired(now);
+        expectedLoads_[adapterKey] = ExpectedLoad{sidecar, now + expectationLifetime};
     }
 }
 
-void FleetView::onEnded(SidecarIndex sidecar)
+void FleetView::onAttemptClosed(SidecarIndex sidecar)
 {
     auto &view = sidecars_[sidecar];
-    view.open -= view.open > 0 ? 1 : 0;
-    view.sentSince -= view.sentSince > 0 ? 1 : 0;
+    view.openAttempts -= view.openAttempts > 0 ? 1 : 0;
+    view.sentSinceReport -= view.sentSinceReport > 0 ? 1 : 0;
 }
 
 void FleetView::markLeaving(SidecarIndex sidecar)
 {
-    sidecars_[sidecar].leaving = true;
+    sidecars_[sidecar].isLeaving = true;
 }
 
 std::optional<SidecarIndex> FleetView::find(std::string_view name) const
@@ -245,13 +245,13 @@
     return position == holders_.end() ? noSidecars : position->second;
 }
 
-const std::vector<SidecarIndex> &FleetView::ofModel(std::string_view baseModel) const
+const std::vector<SidecarIndex> &FleetView::sidecarsOfModel(std::string_view baseModel) const
 {
     const auto position = byModel_.find(baseModel);
     return position == byModel_.end() ? noSidecars : position->second;
 }
 
-const std::vector<SidecarIndex> &FleetView::ofService(std::string_view service) const
+const std::vector<SidecarIndex> &FleetView::sidecarsOfService(std::string_view service) const
 {
     const auto position = byService_.find(service);
     return position == byService_.end() ? noSidecars : position->second;
@@ -259,8 +259,8 @@
 
 std::optional<SidecarIndex> FleetView::expectedHolder(std::uint64_t adapterKey, TimePoint now) const
 {
-    const auto position = expected_.find(adapterKey);
-    if (position == expected_.end() || position->second.until <= now) {
+    const auto position = expectedLoads_.find(adapterKey);
+    if (position == expectedLoads_.end() || position->second.until <= now) {
         return std::nullopt;
     }
     return position->second.sidecar;
--- a/src/routing/load_scheduler.cpp
+++ b/src/routing/load_scheduler.cpp
@@ -1,5 +1,5 @@
-// The load scheduler: one holder of a lease among the entries grants the loads of the whole fleet, one at a time by
-// value, because the weight store gives its full speed to a single load.
+// Load scheduler: the entry that holds the lease grants adapter loads to the whole fleet, the most valuable first. One
+// at a time by default, since a single load gets the full speed of the weight store.
 #include "demand_table.h"
 #include "load_value.h"
 
@@ -11,22 +11,22 @@
 
 namespace {
 
-// A grant that reaches its sidecar later than this is not acted on.
+// Sidecars ignore a grant that is older.
 constexpr Duration grantValidity = Seconds(1);
-// A load whose result has not come after this many usual load times is taken for lost.
-constexpr int lostLoadFactor = 20;
-constexpr Duration longestLostWait = Seconds(60);
-constexpr Duration firstBackoff = Milliseconds(250);
-constexpr Duration longestBackoff = Seconds(8);
+// A load without a result counts as lost after this multiple of the expected load time.
+constexpr int lostLoadTimeFactor = 20;
+constexpr Duration maxLostLoadWait = Seconds(60);
+constexpr Duration minBackoff = Milliseconds(250);
+constexpr Duration maxBackoff = Seconds(8);
 constexpr Duration helloInterval = Seconds(1);
 constexpr double loadTimeDecay = 0.2;
 
-struct FlyingLoad
+struct InFlightLoad
 {
     std::string sidecar;
     std::uint64_t incarnation = 0;
     std::uint64_t key = 0;
-    TimePoint lostAt;
+    TimePoint expiresAt;
 };
 
 } // namespace
@@ -34,111 +34,112 @@
 struct LoadScheduler::Impl
 {
     Init init;
-    std::function<bool(TimePoint)> mayAct;
+    std::function<bool(TimePoint)> holdsLease;
     std::function<std::uint64_t()> fence;
     DemandTable table;
-    std::map<std::uint64_t, FlyingLoad> flying; // by grant number
-    std::map<std::string, TimePoint> greeted; // last Hello to a sidecar
-    std::uint64_t lastGrant = 0;
-    TimePoint blockedUntil{}; // a predecessor's grants may still start
-    TimePoint nextGrantAt{}; // rate of the weight store, or backoff
+    std::map<std::uint64_t, InFlightLoad> inFlightLoads; // by grant number
+    std::map<std::string, TimePoint> lastHelloAt; // last Hello or grant, by sidecar
+    std::uint64_t lastGrantNumber = 0;
+    TimePoint blockedUntil{}; // grants of the previous lease holder may start until then
+    TimePoint nextGrantAt{}; // limited by the rate of the weight store and the backoff
     Duration backoff{};
-    double loadSeconds = 0.0; // decayed mean; 0: none seen
-    TimerHandle wake;
+    double meanLoadSeconds = 0.0; // decayed mean; 0 if none has completed
+    TimerHandle wakeTimer;
     std::vector<SendToSidecar> actions;
     Stats stats;
 
-    Duration loadTime() const;
-    void dropLost(TimePoint now);
-    void dropOf(const std::string &sidecar, std::uint64_t currentIncarnation);
-    bool isFlying(const std::string &sidecar, std::uint64_t key) const;
-    std::uint32_t flyingOf(std::uint64_t key) const;
-    std::uint32_t foreignLoads() const;
-    struct Pick
+    Duration estimatedLoadTime() const;
+    void removeExpiredLoads(TimePoint now);
+    void removeLoadsOf(const std::string &sidecar, std::uint64_t currentIncarnation);
+    bool isInFlight(const std::string &sidecar, std::uint64_t key) const;
+    std::uint32_t inFlightCount(std::uint64_t key) const;
+    std::uint32_t foreignLoadCount() const;
+    struct Candidate
     {
         const std::string *sidecar = nullptr;
         std::uint64_t incarnation = 0;
         std::uint64_t key = 0;
-        AdapterVersion which;
+        AdapterVersion adapterVersion;
         double value = 0.0;
     };
-    Pick best(TimePoint now) const;
-    void grant(const Pick &pick, TimePoint now);
-    void run(TimePoint now);
-    void arm(TimePoint now);
-    void greet(const std::string &sidecar, TimePoint now);
+    Candidate selectBest(TimePoint now) const;
+    void grant(const Candidate &candidate, TimePoint now);
+    void grantLoads(TimePoint now);
+    void armTimer(TimePoint now);
+    void sendHello(const std::string &sidecar, TimePoint now);
 };
 
-Duration LoadScheduler::Impl::loadTime() const
+Duration LoadScheduler::Impl::estimatedLoadTime() const
 {
-    const double byRate = 1.0 / std::max(0.01, init.config->policy().loadRate);
-    const double taken = std::max(byRate, loadSeconds);
-    return Duration(static_cast<std::int64_t>(taken * 1e6));
+    const double rateIntervalSeconds = 1.0 / std::max(0.01, init.config->policy().loadRate);
+    const double loadTimeSeconds = std::max(rateIntervalSeconds, meanLoadSeconds);
+    return Duration(static_cast<std::int64_t>(loadTimeSeconds * 1e6));
 }
 
-void LoadScheduler::Impl::dropLost(TimePoint now)
+void LoadScheduler::Impl::removeExpiredLoads(TimePoint now)
 {
-    stats.expired += std::erase_if(flying, [&](const auto &item) { return item.second.lostAt <= now; });
+    stats.expired += std::erase_if(inFlightLoads, [&](const auto &item) { return item.second.expiresAt <= now; });
 }
 
-void LoadScheduler::Impl::dropOf(const std::string &sidecar, std::uint64_t currentIncarnation)
+void LoadScheduler::Impl::removeLoadsOf(const std::string &sidecar, std::uint64_t currentIncarnation)
 {
-    std::erase_if(flying, [&](const auto &item) {
+    std::erase_if(inFlightLoads, [&](const auto &item) {
         return item.second.sidecar == sidecar && item.second.incarnation < currentIncarnation;
     });
 }
 
-bool LoadScheduler::Impl::isFlying(const std::string &sidecar, std::uint64_t key) const
+bool LoadScheduler::Impl::isInFlight(const std::string &sidecar, std::uint64_t key) const
 {
-    return std::any_of(flying.begin(), flying.end(),
+    return std::any_of(inFlightLoads.begin(), inFlightLoads.end(),
                        [&](const auto &item) { return item.second.key == key && item.second.sidecar == sidecar; });
 }
 
-std::uint32_t LoadScheduler::Impl::flyingOf(std::uint64_t key) const
+std::uint32_t LoadScheduler::Impl::inFlightCount(std::uint64_t key) const
 {
-    return static_cast<std::uint32_t>(
-        std::count_if(flying.begin(), flying.end(), [&](const auto &item) { return item.second.key == key; }));
+    return static_cast<std::uint32_t>(std::count_if(inFlightLoads.begin(), inFlightLoads.end(),
+                                                    [&](const auto &item) { return item.second.key == key; }));
 }
 
-/// Loads that sidecars report and that are none of ours: a predecessor's, or one on demand.
-std::uint32_t LoadScheduler::Impl::foreignLoads() const
+/// Loads that sidecars report but this scheduler did not grant: granted by a previous holder or started on demand.
+std::uint32_t LoadScheduler::Impl::foreignLoadCount() const
 {
-    std::uint32_t own = 0;
-    for (const auto &[number, load] : flying) {
+    std::uint32_t ownLoads = 0;
+    for (const auto &[number, load] : inFlightLoads) {
         const auto sidecar = table.sidecars().find(load.sidecar);
         if (sidecar == table.sidecars().end()) {
             continue;
         }
         const auto state = sidecar->second.adapters.find(load.key);
-        own += state != sidecar->second.adapters.end() && state->second == ResidencyState::Loading ? 1 : 0;
+        ownLoads += state != sidecar->second.adapters.end() && state->second == ResidencyState::Loading ? 1 : 0;
     }
-    return table.loading() > own ? table.loading() - own : 0;
+    return table.loadingCount() > ownLoads ? table.loadingCount() - ownLoads : 0;
 }
 
-LoadScheduler::Impl::Pick LoadScheduler::Impl::best(TimePoint now) const
+LoadScheduler::Impl::Candidate LoadScheduler::Impl::selectBest(TimePoint now) const
 {
-    Pick pick;
-    for (const auto &[name, sidecar] : table.demanding()) {
-        if (!sidecar->takesLoads || sidecar->suspect) {
+    Candidate candidate;
+    for (const auto &[name, sidecar] : table.sidecarsWithDemand()) {
+        if (!sidecar->acceptsLoads || sidecar->isSuspect) {
             continue;
         }
         for (const auto &[key, demand] : sidecar->demands) {
             const auto state = sidecar->adapters.find(key);
-            const bool present = state != sidecar->adapters.end() && state->second != ResidencyState::Absent;
-            if (!demand.evictable || present || isFlying(name, key)) {
+            const bool isPresent = state != sidecar->adapters.end() && state->second != ResidencyState::Absent;
+            if (!demand.hasEvictableSlot || isPresent || isInFlight(name, key)) {
                 continue;
             }
-            const LoadValueContext context{&init.config->policy(), now, loadTime(), table.copies(key) + flyingOf(key)};
+            const LoadValueContext context{&init.config->policy(), now, estimatedLoadTime(),
+                                           table.copyCount(key) + inFlightCount(key)};
             const double value = loadValue(demand, context);
-            if (value > pick.value) {
-                pick = Pick{&name, sidecar->incarnation, key, demand.which, value};
+            if (value > candidate.value) {
+                candidate = Candidate{&name, sidecar->incarnation, key, demand.adapterVersion, value};
             }
         }
     }
-    return pick;
+    return candidate;
 }
 
-void LoadScheduler::Impl::grant(const Pick &pick, TimePoint now)
+void LoadScheduler::Impl::grant(const Candidate &candidate, TimePoint now)
 {
     wire::Envelope message;
     message.set_protocol(wireProtocol);
@@ -146,62 +147,64 @@
     out.mutable_scheduler()->set_name(init.name);
     out.mutable_scheduler()->set_incarnation(init.incarnation);
     out.set_fence(fence());
-    out.set_grant(++lastGrant);
-    out.set_adapter(pick.which.adapter);
-    out.set_version(pick.which.version);
+    out.set_grant(++lastGrantNumber);
+    out.set_adapter(candidate.adapterVersion.adapter);
+    out.set_version(candidate.adapterVersion.version);
     out.set_valid_us(static_cast<std::uint64_t>(grantValidity.count()));
-    out.set_target_incarnation(pick.incarnation);
-    const auto lostAfter = std::min(longestLostWait, grantValidity + lostLoadFactor * loadTime());
-    flying[lastGrant] = FlyingLoad{*pick.sidecar, pick.incarnation, pick.key, now + lostAfter};
-    const double interval = 1.0 / std::max(0.01, init.config->policy().loadRate);
-    nextGrantAt = std::max(nextGrantAt, now) + Duration(static_cast<std::int64_t>(interval * 1e6));
+    out.set_target_incarnation(candidate.incarnation);
+    const auto expiresAfter = std::min(maxLostLoadWait, grantValidity + lostLoadTimeFactor * estimatedLoadTime());
+    inFlightLoads[lastGrantNumber] =
+        InFlightLoad{*candidate.sidecar, candidate.incarnation, candidate.key, now + expiresAfter};
+    const double rateIntervalSeconds = 1.0 / std::max(0.01, init.config->policy().loadRate);
+    nextGrantAt = std::max(nextGrantAt, now) + Duration(static_cast<std::int64_t>(rateIntervalSeconds * 1e6));
     ++stats.grants;
-    greeted[*pick.sidecar] = now;
-    actions.push_back(SendToSidecar{*pick.sidecar, std::move(message)});
+    lastHelloAt[*candidate.sidecar] = now;
+    actions.push_back(SendToSidecar{*candidate.sidecar, std::move(message)});
 }
 
-void LoadScheduler::Impl::run(TimePoint now)
+void LoadScheduler::Impl::grantLoads(TimePoint now)
 {
-    dropLost(now);
+    removeExpiredLoads(now);
     const auto limit = std::max<std::uint32_t>(1, init.config->policy().parallelLoads);
-    while (now >= nextGrantAt && now >= blockedUntil && flying.size() + foreignLoads() < limit && mayAct(now)) {
-        const auto pick = best(now);
-        if (pick.sidecar == nullptr) {
+    while (now >= nextGrantAt && now >= blockedUntil && inFlightLoads.size() + foreignLoadCount() < limit
+           && holdsLease(now)) {
+        const auto candidate = selectBest(now);
+        if (candidate.sidecar == nullptr) {
             break;
         }
-        grant(pick, now);
+        grant(candidate, now);
     }
-    arm(now);
+    armTimer(now);
 }
 
-void LoadScheduler::Impl::arm(TimePoint now)
+void LoadScheduler::Impl::armTimer(TimePoint now)
 {
-    if (wake) {
-        init.timers->cancel(wake);
-        wake = TimerHandle{};
+    if (wakeTimer) {
+        init.timers->cancel(wakeTimer);
+        wakeTimer = TimerHandle{};
     }
     TimePoint at = std::max(nextGrantAt, blockedUntil);
-    for (const auto &[number, load] : flying) {
-        at = at > now ? std::min(at, load.lostAt) : load.lostAt;
+    for (const auto &[number, load] : inFlightLoads) {
+        at = at > now ? std::min(at, load.expiresAt) : load.expiresAt;
     }
     if (at <= now) {
         return;
     }
-    wake = init.timers->subscribe(at, [this](TimePoint fired) {
-        wake = TimerHandle{};
-        run(fired);
+    wakeTimer = init.timers->subscribe(at, [this](TimePoint fired) {
+        wakeTimer = TimerHandle{};
+        grantLoads(fired);
     });
 }
 
-/// Tells a sidecar who the scheduler is, so that it waits for grants and does not load on demand.
-void LoadScheduler::Impl::greet(const std::string &sidecar, TimePoint now)
+/// Announces this scheduler to a sidecar, which then waits for grants instead of loading on demand.
+void LoadScheduler::Impl::sendHello(const std::string &sidecar, TimePoint now)
 {
-    const auto last = greeted.find(sidecar);
-    const bool recent = last != greeted.end() && now - last->second < helloInterval;
-    if (recent || !mayAct(now)) {
+    const auto last = lastHelloAt.find(sidecar);
+    const bool isRecent = last != lastHelloAt.end() && now - last->second < helloInterval;
+    if (isRecent || !holdsLease(now)) {
         return;
     }
-    greeted[sidecar] = now;
+    lastHelloAt[sidecar] = now;
     wire::Envelope message;
     message.set_protocol(wireProtocol);
     auto &hello = *message.mutable_hello();
@@ -209,17 +212,17 @@
     hello.mutable_from()->set_incarnation(init.incarnation);
     hello.set_scheduler(true);
     hello.set_scheduler_fence(fence());
-    hello.set_want_full(last == greeted.end());
+    hello.set_want_full(last == lastHelloAt.end());
     hello.set_config_revision(init.config->revision());
     hello.set_config_digest(init.config->digest());
     actions.push_back(SendToSidecar{sidecar, std::move(message)});
 }
 
-LoadScheduler::LoadScheduler(Init init, std::function<bool(TimePoint)> mayAct, std::function<std::uint64_t()> fence)
+LoadScheduler::LoadScheduler(Init init, std::function<bool(TimePoint)> holdsLease, std::function<std::uint64_t()> fence)
     : impl_(std::make_unique<Impl>())
 {
     impl_->init = std::move(init);
-    impl_->mayAct = std::move(mayAct);
+    impl_->holdsLease = std::move(holdsLease);
     impl_->fence = std::move(fence);
 }
 
@@ -228,68 +231,69 @@
 void LoadScheduler::onHeartbeat(const wire::Heartbeat &heartbeat, Now now)
 {
     if (impl_->table.onHeartbeat(heartbeat, now.mono)) {
-        impl_->dropOf(heartbeat.from().name(), heartbeat.from().incarnation());
+        impl_->removeLoadsOf(heartbeat.from().name(), heartbeat.from().incarnation());
     }
-    const bool unknown = !impl_->greeted.contains(heartbeat.from().name());
-    if (unknown || heartbeat.demands_size() > 0) {
-        impl_->greet(heartbeat.from().name(), now.mono);
+    const bool isUnknown = !impl_->lastHelloAt.contains(heartbeat.from().name());
+    if (isUnknown || heartbeat.demands_size() > 0) {
+        impl_->sendHello(heartbeat.from().name(), now.mono);
     }
-    impl_->stats.demands = impl_->table.demands();
-    impl_->run(now.mono);
+    impl_->stats.demands = impl_->table.demandCount();
+    impl_->grantLoads(now.mono);
 }
 
 void LoadScheduler::onLoadResult(const wire::LoadResult &result, Now now)
 {
-    const auto load = impl_->flying.find(result.grant());
-    const bool ours =
-        load != impl_->flying.end() && result.fence() == impl_->fence() && result.from().name() == load->second.sidecar;
-    if (!ours) {
+    const auto load = impl_->inFlightLoads.find(result.grant());
+    const bool isOurs = load != impl_->inFlightLoads.end() && result.fence() == impl_->fence()
+                        && result.from().name() == load->second.sidecar;
+    if (!isOurs) {
         return;
     }
     const auto outcome = fromWire(result.outcome(), OrderOutcome::Unknown);
     impl_->table.dropDemand(load->second.sidecar, load->second.key);
-    impl_->flying.erase(load);
+    impl_->inFlightLoads.erase(load);
     if (outcome == OrderOutcome::Done) {
         ++impl_->stats.done;
         impl_->backoff = Duration{};
-        const double took = static_cast<double>(result.took_us()) * 1e-6;
-        impl_->loadSeconds += impl_->loadSeconds == 0.0 ? took : loadTimeDecay * (took - impl_->loadSeconds);
+        const double tookSeconds = static_cast<double>(result.took_us()) * 1e-6;
+        impl_->meanLoadSeconds +=
+            impl_->meanLoadSeconds == 0.0 ? tookSeconds : loadTimeDecay * (tookSeconds - impl_->meanLoadSeconds);
     }
     if (outcome == OrderOutcome::Refused) {
-        // The store is over its rate. Asking on at once would keep it there.
+        // Backs off, so that retries do not keep the store overloaded.
         ++impl_->stats.storeRefusals;
-        impl_->backoff = std::clamp(2 * impl_->backoff, firstBackoff, longestBackoff);
+        impl_->backoff = std::clamp(2 * impl_->backoff, minBackoff, maxBackoff);
         impl_->nextGrantAt = std::max(impl_->nextGrantAt, now.mono + impl_->backoff);
     }
-    impl_->run(now.mono);
+    impl_->grantLoads(now.mono);
 }
 
 void LoadScheduler::onMember(const Member &member, Now now)
 {
-    const bool fresh = impl_->table.onMember(member);
-    if (fresh) {
-        impl_->dropOf(member.name, member.incarnation);
-        impl_->greeted.erase(member.name);
+    const bool isNew = impl_->table.onMember(member);
+    if (isNew) {
+        impl_->removeLoadsOf(member.name, member.incarnation);
+        impl_->lastHelloAt.erase(member.name);
     }
     if (member.role == VmRole::Sidecar && member.state == MemberState::Gone) {
-        impl_->dropOf(member.name, member.incarnation + 1);
+        impl_->removeLoadsOf(member.name, member.incarnation + 1);
     }
-    if (fresh && member.state == MemberState::Live) {
-        impl_->greet(member.name, now.mono);
+    if (isNew && member.state == MemberState::Live) {
+        impl_->sendHello(member.name, now.mono);
     }
-    impl_->run(now.mono);
+    impl_->grantLoads(now.mono);
 }
 
 void LoadScheduler::onTakeOver(Now now)
 {
-    impl_->flying.clear();
-    impl_->greeted.clear();
-    // A grant of the predecessor may start until its validity is over; from then on the load shows in heartbeats.
+    impl_->inFlightLoads.clear();
+    impl_->lastHelloAt.clear();
+    // A grant of the previous holder may start until it expires. After that the load is visible in heartbeats.
     impl_->blockedUntil = now.mono + 2 * grantValidity;
     for (const auto &[name, sidecar] : impl_->table.sidecars()) {
-        impl_->greet(name, now.mono);
+        impl_->sendHello(name, now.mono);
     }
-    impl_->arm(now.mono);
+    impl_->armTimer(now.mono);
 }
 
 std::vector<SendToSidecar> LoadScheduler::takeActions()
--- a/src/routing/load_value.cpp
+++ b/src/routing/load_value.cpp
@@ -1,4 +1,4 @@
-// Value of a load: the calls that wait, their class and age, less what the eviction costs.
+// Load value from waiting calls, their class and their wait; for prefetch, from call rate and eviction cost.
 #include "load_value.h"
 
 #include <algorithm>
@@ -8,9 +8,9 @@
 
 namespace {
 
-// A prefetch must be worth this much more than what it evicts, else two adapters push each other out in turn.
+// Required ratio of prefetch value to victim value. Prevents two adapters from evicting each other in turn.
 constexpr double prefetchHysteresis = 2.0;
-constexpr double seconds(Duration duration)
+constexpr double toSeconds(Duration duration)
 {
     return static_cast<double>(duration.count()) * 1e-6;
 }
@@ -19,23 +19,23 @@
 
 double loadValue(const Demand &demand, const LoadValueContext &context)
 {
-    const double loadTime = std::max(0.001, seconds(context.loadTime));
-    if (demand.waiting == 0) {
-        const bool worthIt = demand.rate > prefetchHysteresis * demand.victimValue && context.copies == 0;
-        return worthIt ? demand.rate * loadTime * 0.01 : 0.0;
+    const double loadTime = std::max(0.001, toSeconds(context.loadTime));
+    if (demand.waitingCalls == 0) {
+        const bool isWorthwhile = demand.callRate > prefetchHysteresis * demand.victimValue && context.copyCount == 0;
+        return isWorthwhile ? demand.callRate * loadTime * 0.01 : 0.0;
     }
     const auto age = context.now - demand.reportedAt;
-    const double left = seconds(demand.leastBudget - age);
-    // No waiting call would live to see the load. Calls with more time left show up in the next report.
-    const bool inVain = demand.leastBudget > Duration{} && demand.waiting == 1 && left < loadTime;
-    if (inVain) {
+    const double secondsLeft = toSeconds(demand.minBudget - age);
+    // The only waiting call would expire before the load completes. Later calls are in the next report.
+    const bool isTooLate = demand.minBudget > Duration{} && demand.waitingCalls == 1 && secondsLeft < loadTime;
+    if (isTooLate) {
         return 0.0;
     }
-    const double waited = seconds(demand.oldestWait + age);
-    // The root: with the full weight the lowest class gets next to no loads while the store is behind.
+    const double waitedSeconds = toSeconds(demand.oldestWait + age);
+    // The square root dampens the class weight. Prevents starvation of the lowest class while the store is overloaded.
     const double weight = std::sqrt(context.policy->classWeights[static_cast<std::size_t>(demand.callClass)]);
-    // The age term bounds the wait of an adapter with few callers: its value grows until it is served.
-    return weight * static_cast<double>(demand.waiting) * (loadTime + waited);
+    // The value grows with the wait, which bounds the wait of adapters with few callers.
+    return weight * static_cast<double>(demand.waitingCalls) * (loadTime + waitedSeconds);
 }
 
 } // namespace anvilscale
--- a/src/routing/load_value.h
+++ b/src/routing/load_value.h
@@ -1,19 +1,20 @@
-// The worth of one load, by which the scheduler orders all loads of the fleet.
+// Value of an adapter load, by which the load scheduler orders demands.
 #pragma once
 
 #include "demand_table.h"
 
 namespace anvilscale {
 
+/// Inputs of loadValue() besides the demand.
 struct LoadValueContext
 {
     const Policy *policy = nullptr;
     TimePoint now;
-    Duration loadTime{}; ///< what a load takes now
-    std::uint32_t copies = 0; ///< of the adapter in the fleet, resident or loading
+    Duration loadTime{}; ///< current estimate for one load
+    std::uint32_t copyCount = 0; ///< sidecars where the adapter is resident or loading
 };
 
-/// Greater is sooner; zero or less: not worth a load.
+/// Returns the priority of a load, greatest first. Zero or less means that the load is not worthwhile.
 double loadValue(const Demand &demand, const LoadValueContext &context);
 
 } // namespace anvilscale
--- a/src/routing/naive_entry.cpp
+++ b/src/routing/naive_entry.cpp
@@ -1,15 +1,15 @@
-// The naive version behind the entry's face.
+// Baseline implementation of the entry interface.
 #include "entry_core.h"
 
 namespace anvilscale {
 
 struct NaiveEntryDecisions::Impl
 {
-    EntryCore<NaiveWay> core;
+    EntryCore<NaiveTraits> core;
 };
 
 NaiveEntryDecisions::NaiveEntryDecisions(EntryInit init)
-    : impl_(new Impl{EntryCore<NaiveWay>(std::move(init))})
+    : impl_(new Impl{EntryCore<NaiveTraits>(std::move(init))})
 {
 }
 
@@ -20,14 +20,14 @@
     impl_->core.onCall(call, std::move(request), now);
 }
 
-void NaiveEntryDecisions::onCallerGone(CallHandle call, FailureReason why, Now now)
+void NaiveEntryDecisions::onCallerGone(CallHandle call, FailureReason reason, Now now)
 {
-    impl_->core.onCallerGone(call, why, now);
+    impl_->core.onCallerGone(call, reason, now);
 }
 
 void NaiveEntryDecisions::onCallerTook(CallHandle call, std::uint64_t bytes, Now /*now*/)
 {
-    impl_->core.onCallerTook(call, bytes);
+    impl_->core.onCallerRead(call, bytes);
 }
 
 void NaiveEntryDecisions::onMessage(const std::string &sidecar, const wire::Envelope &message, Now now)
--- a/src/routing/naive_placement.cpp
+++ b/src/routing/naive_placement.cpp
@@ -1,4 +1,4 @@
-// The naive version: the sidecar with the fewest calls by its last report, wherever the adapter is.
+// Baseline placement: the sidecar with the smallest backlog, regardless of adapter residency.
 #include "placement.h"
 
 #include <algorithm>
@@ -8,14 +8,16 @@
 std::optional<PlacementChoice> LeastLoadedPlacement::choose(const FleetView &fleet, const PlacementRequest &request,
                                                             Random &random) const
 {
-    const auto &group = request.service.empty() ? fleet.ofModel(request.baseModel) : fleet.ofService(request.service);
+    const auto &group =
+        request.service.empty() ? fleet.sidecarsOfModel(request.baseModel) : fleet.sidecarsOfService(request.service);
     std::optional<PlacementChoice> best;
     const auto start = group.empty() ? 0 : random.below(group.size());
     for (std::size_t i = 0; i < group.size(); ++i) {
         const auto index = group[(start + i) % group.size()];
         const auto &view = fleet.at(index);
-        const bool tried = std::find(request.tried.begin(), request.tried.end(), index) != request.tried.end();
-        if (!view.routable() || tried) {
+        const bool wasTried =
+            std::find(request.triedSidecars.begin(), request.triedSidecars.end(), index) != request.triedSidecars.end();
+        if (!view.isRoutable() || wasTried) {
             continue;
         }
         if (!best || view.backlog() < fleet.at(best->sidecar).backlog()) {
--- a/src/routing/repeat_memory.cpp
+++ b/src/routing/repeat_memory.cpp
@@ -1,46 +1,47 @@
-// Bounded memory of sent keys.
+// Recently sent idempotency keys, bounded by age and count.
 #include "repeat_memory.h"
 
 namespace anvilscale {
 
 namespace {
 
-// Callers' libraries come back within seconds; later a repeat is as good as a new call.
-constexpr Duration memory = Seconds(60);
-constexpr std::size_t maximumNotes = 16384;
+// Client libraries retry within seconds. A later repeat is handled as a new call.
+constexpr Duration retention = Seconds(60);
+constexpr std::size_t maxRecords = 16384;
 
 } // namespace
 
-void RepeatMemory::forgetOld(TimePoint now)
+void RecentRequests::removeExpired(TimePoint now)
 {
-    while (!order_.empty() && (order_.size() > maximumNotes || order_.front().first + memory <= now)) {
-        const auto place = sent_.find(order_.front().second);
-        if (place != sent_.end() && place->second.lastSeen <= order_.front().first) {
-            sent_.erase(place);
+    while (!expiryOrder_.empty()
+           && (expiryOrder_.size() > maxRecords || expiryOrder_.front().first + retention <= now)) {
+        const auto position = sentRequests_.find(expiryOrder_.front().second);
+        if (position != sentRequests_.end() && position->second.lastSeenAt <= expiryOrder_.front().first) {
+            sentRequests_.erase(position);
         }
-        order_.pop_front();
+        expiryOrder_.pop_front();
     }
 }
 
-void RepeatMemory::note(const std::string &key, SidecarIndex sidecar, TimePoint now)
+void RecentRequests::record(const std::string &key, SidecarIndex sidecar, TimePoint now)
 {
     if (key.empty()) {
         return;
     }
     const auto hash = hash64(key);
-    sent_[hash] = Sent{sidecar, now};
-    order_.emplace_back(now, hash);
-    forgetOld(now);
+    sentRequests_[hash] = SentRequest{sidecar, now};
+    expiryOrder_.emplace_back(now, hash);
+    removeExpired(now);
 }
 
-std::optional<RepeatMemory::Sent> RepeatMemory::find(const std::string &key, TimePoint now)
+std::optional<RecentRequests::SentRequest> RecentRequests::find(const std::string &key, TimePoint now)
 {
     if (key.empty()) {
         return std::nullopt;
     }
-    forgetOld(now);
-    const auto place = sent_.find(hash64(key));
-    return place == sent_.end() ? std::nullopt : std::optional(place->second);
+    removeExpired(now);
+    const auto position = sentRequests_.find(hash64(key));
+    return position == sentRequests_.end() ? std::nullopt : std::optional(position->second);
 }
 
 } // namespace anvilscale
--- a/src/routing/repeat_memory.h
+++ b/src/routing/repeat_memory.h
@@ -1,5 +1,4 @@
-// Which keys this entry has sent, and where to. A caller that timed out comes back with the same key: its repeat is
-// sent to the same sidecar, where it can attach to what waits or runs, and it is known to be a repeat.
+// Recently sent idempotency keys of an entry and the sidecars they were sent to.
 #pragma once
 
 #include "fleet_view.h"
@@ -11,22 +10,27 @@
 
 namespace anvilscale {
 
-class RepeatMemory
+/// Detects repeated keys, so that a repeat after a timeout is sent to the same sidecar and can attach to its execution.
+class RecentRequests
 {
 public:
-    struct Sent
+    struct SentRequest
     {
         SidecarIndex sidecar = 0;
-        TimePoint lastSeen; ///< when the call was sent or ended
+        TimePoint lastSeenAt; ///< last time a call with this key was sent or ended
     };
-    void note(const std::string &key, SidecarIndex sidecar, TimePoint now);
-    std::optional<Sent> find(const std::string &key, TimePoint now);
+    /// Records that a call with the key was sent to the sidecar or ended there. Ignores an empty key.
+    void record(const std::string &key, SidecarIndex sidecar, TimePoint now);
+    /// Returns the last sidecar of the key, or nothing if the key is empty, unknown or expired.
+    std::optional<SentRequest> find(const std::string &key, TimePoint now);
 
 private:
-    void forgetOld(TimePoint now);
+    void removeExpired(TimePoint now);
 
-    std::unordered_map<std::uint64_t, Sent> sent_; // by hash of the key: a clash costs a detour, nothing else
-    std::deque<std::pair<TimePoint, std::uint64_t>> order_; // one entry for each note
+    // By key hash. A collision only routes a call to another sidecar.
+    std::unordered_map<std::uint64_t, SentRequest> sentRequests_;
+    // Time and key hash of each recorded request, oldest first.
+    std::deque<std::pair<TimePoint, std::uint64_t>> expiryOrder_;
 };
 
 } // namespace anvilscale
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -5,36 +5,36 @@
 
 namespace {
 
-constexpr Duration halfWindow = Seconds(15);
-// Lets a lone failed call be retried at an entry with little traffic.
-constexpr double minimumRetries = 2.0;
+constexpr Duration halfWindowLength = Seconds(15);
+// Allows single failed calls to be retried at an entry with little traffic.
+constexpr double minRetries = 2.0;
 
 } // namespace
 
-void RetryBudget::roll(TimePoint now)
+void RetryBudget::advanceWindow(TimePoint now)
 {
-    if (now - halfStart_ < halfWindow) {
+    if (now - currentStart_ < halfWindowLength) {
         return;
     }
-    const bool adjacent = now - halfStart_ < 2 * halfWindow;
-    previous_ = adjacent ? current_ : Half{};
-    current_ = Half{};
-    halfStart_ = now;
+    const bool isAdjacent = now - currentStart_ < 2 * halfWindowLength;
+    previous_ = isAdjacent ? current_ : HalfWindow{};
+    current_ = HalfWindow{};
+    currentStart_ = now;
 }
 
 void RetryBudget::countFirst(TimePoint now)
 {
-    roll(now);
-    ++current_.first;
+    advanceWindow(now);
+    ++current_.firstExecutions;
 }
 
 bool RetryBudget::take(double ratio, TimePoint now)
 {
-    roll(now);
-    const auto first = static_cast<double>(current_.first + previous_.first);
+    advanceWindow(now);
+    const auto firstExecutions = static_cast<double>(current_.firstExecutions + previous_.firstExecutions);
     const auto retries = static_cast<double>(current_.retries + previous_.retries);
-    const bool spent = ratio <= 0.0 || retries + 1.0 > minimumRetries + ratio * first;
-    if (spent) {
+    const bool isSpent = ratio <= 0.0 || retries + 1.0 > minRetries + ratio * firstExecutions;
+    if (isSpent) {
         return false;
     }
     ++current_.retries;
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -1,33 +1,35 @@
-// Limits the executions that retries create to a share of the first executions (Policy::retryBudget).
+// Retry budget: limits executions created by retries to a share of first executions (Policy::retryBudget).
 #pragma once
 
 #include "anvilscale/base.h"
 
 namespace anvilscale {
 
-/// Counted over a sliding window of two halves. The unit is executions created, not requests seen: in an overload the
-/// executions are what keeps the engines busy for callers who have left (Zhang and Wang, "Cancellation Is Not Enough").
+/// Counts over a sliding window of two halves. Counts executions, not requests: in an overload, executions for callers
+/// that have left keep the engines busy (Zhang and Wang, "Cancellation Is Not Enough").
 class RetryBudget
 {
 public:
+    /// Counts the first execution of a call.
     void countFirst(TimePoint now);
-    /// Takes one execution from the budget, or says that it is spent.
+    /// Takes one execution from the budget of `ratio` times the first executions, plus a fixed minimum. Returns false
+    /// if the budget is spent; with a `ratio` of zero always.
     bool take(double ratio, TimePoint now);
 
 private:
-    struct Half
+    struct HalfWindow
     {
-        std::uint64_t first = 0;
+        std::uint64_t firstExecutions = 0;
         std::uint64_t retries = 0;
     };
-    void roll(TimePoint now);
+    void advanceWindow(TimePoint now);
 
-    Half current_;
-    Half previous_;
-    TimePoint halfStart_{};
+    HalfWindow current_;
+    HalfWindow previous_;
+    TimePoint currentStart_{};
 };
 
-/// The naive counterpart: retries as long as the attempts last.
+/// Baseline without a budget: retries are limited by the attempts of a call only.
 class UnlimitedRetries
 {
 public:
--- a/src/routing/verdict.cpp
+++ b/src/routing/verdict.cpp
@@ -1,30 +1,30 @@
-// The verdict rule.
+// Verdict on whether a call ran.
 #include "verdict.h"
 
 namespace anvilscale {
 
 namespace {
 
-bool provesNotRun(AttemptFate fate)
+bool provesNotRun(AttemptOutcome outcome)
 {
-    return fate == AttemptFate::NeverSent || fate == AttemptFate::RefusedNotRun;
+    return outcome == AttemptOutcome::NeverSent || outcome == AttemptOutcome::RefusedNotRun;
 }
 
 } // namespace
 
-Verdict verdictOf(std::span<const AttemptFate> attempts, KeyProof key)
+Verdict verdictOf(std::span<const AttemptOutcome> attempts, KeyProof key)
 {
-    bool notRun = key != KeyProof::NotProved;
-    bool failed = !attempts.empty();
-    for (const auto fate : attempts) {
-        notRun = notRun && provesNotRun(fate);
-        failed = failed && (provesNotRun(fate) || fate == AttemptFate::RanAndFailed);
+    bool isNotRun = key != KeyProof::NotProved;
+    bool hasFailed = !attempts.empty();
+    for (const auto outcome : attempts) {
+        isNotRun = isNotRun && provesNotRun(outcome);
+        hasFailed = hasFailed && (provesNotRun(outcome) || outcome == AttemptOutcome::RanAndFailed);
     }
-    if (notRun) {
+    if (isNotRun) {
         return Verdict::NotRun;
     }
-    const bool anyFailed = !attempts.empty() && attempts.back() == AttemptFate::RanAndFailed;
-    return failed && anyFailed ? Verdict::Failed : Verdict::OutcomeUnknown;
+    const bool lastAttemptFailed = !attempts.empty() && attempts.back() == AttemptOutcome::RanAndFailed;
+    return hasFailed && lastAttemptFailed ? Verdict::Failed : Verdict::OutcomeUnknown;
 }
 
 } // namespace anvilscale
--- a/src/routing/verdict.h
+++ b/src/routing/verdict.h
@@ -1,4 +1,4 @@
-// The one rule by which a caller is told whether a call ran. Every path that ends a call uses it.
+// Verdict reported to callers on whether a call ran. Used by every path that ends a call.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -7,26 +7,26 @@
 
 namespace anvilscale {
 
-/// What is known of one attempt when the call ends.
-enum class AttemptFate : std::uint8_t {
-    NeverSent, ///< the transport proved that nothing left this process
-    RefusedNotRun, ///< its sidecar proved that the endpoint never saw it
-    MayHaveRun, ///< sent, and nothing better is known
+/// Outcome of one attempt as known when the call ends.
+enum class AttemptOutcome : std::uint8_t {
+    NeverSent, ///< the transport proved that nothing was sent
+    RefusedNotRun, ///< the sidecar proved that the endpoint did not receive it
+    MayHaveRun, ///< sent, without further information
     RanAndFailed, ///< the endpoint reported a failure
     Count
 };
 template<>
-struct EnumNames<AttemptFate>
+struct EnumNames<AttemptOutcome>
 {
-    static constexpr std::array<std::string_view, enumCount<AttemptFate>> table{"never_sent", "refused_not_run",
-                                                                                "may_have_run", "ran_and_failed"};
+    static constexpr std::array<std::string_view, enumCount<AttemptOutcome>> table{"never_sent", "refused_not_run",
+                                                                                   "may_have_run", "ran_and_failed"};
 };
 
-/// Where a proof about the caller's key comes from.
+/// Whether an earlier call with the same key is ruled out.
 enum class KeyProof : std::uint8_t {
-    NoKey, ///< without a key no earlier call can be the same call
-    OwnerProved, ///< the owner of the key's slot says that the key never ran
-    NotProved, ///< another entry may have sent an earlier call with this key
+    NoKey, ///< the call has no key, so no earlier call can match
+    OwnerProved, ///< the owner of the key's slot reported that the key has not run
+    NotProved, ///< another entry may have sent a call with this key
     Count
 };
 template<>
@@ -35,8 +35,8 @@
     static constexpr std::array<std::string_view, enumCount<KeyProof>> table{"no_key", "owner_proved", "not_proved"};
 };
 
-/// NotRun only if no attempt can have reached an endpoint and no earlier call with the same key can have either.
-/// A caller that is told "not run" repeats the call under a new key; if an execution exists, that doubles an admission.
-Verdict verdictOf(std::span<const AttemptFate> attempts, KeyProof key);
+/// Returns NotRun only if neither an attempt nor an earlier call with the same key can have reached an endpoint.
+/// Prevents a duplicate admission: on "not run" the caller repeats the call under a new key.
+Verdict verdictOf(std::span<const AttemptOutcome> attempts, KeyProof key);
 
 } // namespace anvilscale
--- a/tests/unit/routing_fixture.h
+++ b/tests/unit/routing_fixture.h
@@ -1,4 +1,4 @@
-// An entry's decisions under a virtual clock, with sidecars that answer what the test says.
+// Fixture for entry decisions: virtual clock, scripted sidecar messages, collected actions.
 #pragma once
 
 #include "config.pb.h"
@@ -27,7 +27,7 @@
               R"("route":{"adapter":"lounge","version":")" + version + R"(","deadlineMs":10000})");
 }
 
-/// Adapter lounge@1 and @2, route "desk" to version 1, services "count" (not idempotent) and "check".
+/// Configures adapter lounge@1 and @2, route "desk" to version 1, and services "count" (not idempotent) and "check".
 inline void fillStore(ConfigStore &store)
 {
     config::Delta delta;
@@ -48,11 +48,11 @@
     TimerService timers;
     Now now{TimePoint(Seconds(1000)), WallTime{1'700'000'000'000}};
     std::unique_ptr<Entry> entry;
-    std::vector<SendToSidecar> sent; ///< calls only
+    std::vector<SendToSidecar> sent; ///< call requests only
     std::size_t cancels = 0;
-    std::size_t asksForFull = 0; ///< hellos that ask a sidecar for its whole state
-    std::map<std::uint64_t, std::string> bytes; ///< by call
-    std::map<std::uint64_t, int> ends; ///< how often the call ended
+    std::size_t fullReportRequests = 0; ///< Hello messages that request a full report
+    std::map<std::uint64_t, std::string> answers; ///< answer data by call
+    std::map<std::uint64_t, int> endCounts; ///< number of FinishCall and FailCall actions by call
     std::map<std::uint64_t, CallError> errors;
     std::map<std::string, std::uint64_t> sequences;
 
@@ -68,21 +68,21 @@
         init.safeguards = safeguards;
         entry = std::make_unique<Entry>(init);
     }
-    void collect()
+    void collectActions()
     {
         for (auto &action : entry->takeActions()) {
             std::visit(Overloaded{[&](SendToSidecar &send) {
                                       cancels += send.message.has_call_cancel() ? 1 : 0;
-                                      asksForFull +=
+                                      fullReportRequests +=
                                           send.message.has_hello() && send.message.hello().want_full() ? 1 : 0;
                                       if (send.message.has_call_request()) {
                                           sent.push_back(std::move(send));
                                       }
                                   },
-                                  [&](DeliverFrame &frame) { bytes[frame.call.value] += frame.data; },
-                                  [&](FinishCall &finish) { ++ends[finish.call.value]; },
+                                  [&](DeliverFrame &frame) { answers[frame.call.value] += frame.data; },
+                                  [&](FinishCall &finish) { ++endCounts[finish.call.value]; },
                                   [&](FailCall &fail) {
-                                      ++ends[fail.call.value];
+                                      ++endCounts[fail.call.value];
                                       errors[fail.call.value] = fail.error;
                                   }},
                        action);
@@ -92,10 +92,10 @@
     {
         now.mono += by;
         timers.advance(now.mono);
-        collect();
+        collectActions();
     }
-    wire::Heartbeat report(const std::string &sidecar, const std::vector<std::string> &versions,
-                           std::uint64_t incarnation = 1)
+    wire::Heartbeat makeReport(const std::string &sidecar, const std::vector<std::string> &versions,
+                               std::uint64_t incarnation = 1)
     {
         wire::Heartbeat out;
         out.mutable_from()->set_name(sidecar);
@@ -117,16 +117,16 @@
         }
         return out;
     }
-    void hear(const wire::Heartbeat &heartbeat)
+    void receiveReport(const wire::Heartbeat &heartbeat)
     {
         wire::Envelope message;
         message.set_protocol(wireProtocol);
         *message.mutable_heartbeat() = heartbeat;
         entry->onMessage(heartbeat.from().name(), message, now);
-        collect();
+        collectActions();
     }
-    /// The load alone, as the next message after the sidecar's latest report.
-    void beat(const std::string &sidecar, std::uint32_t queued, std::uint64_t incarnation = 1)
+    /// Delivers a beat with the next sequence number of the sidecar.
+    void receiveBeat(const std::string &sidecar, std::uint32_t queued, std::uint64_t incarnation = 1)
     {
         wire::Envelope message;
         message.set_protocol(wireProtocol);
@@ -135,9 +135,10 @@
         beat.set_sequence(++sequences[sidecar]);
         beat.set_queued(queued);
         entry->onMessage(sidecar, message, now);
-        collect();
+        collectActions();
     }
-    void call(std::uint64_t handle, const std::string &service = "", const std::string &key = "", bool stream = false)
+    void startCall(std::uint64_t handle, const std::string &service = "", const std::string &key = "",
+                   bool stream = false)
     {
         CallerRequest request;
         request.route = service.empty() ? "desk" : "";
@@ -146,24 +147,26 @@
         request.stream = stream;
         request.method = "POST";
         entry->onCall(CallHandle{handle}, request, now);
-        collect();
+        collectActions();
     }
-    void say(const std::string &sidecar, wire::Envelope message)
+    void receiveMessage(const std::string &sidecar, wire::Envelope message)
     {
         message.set_protocol(wireProtocol);
         entry->onMessage(sidecar, message, now);
-        collect();
+        collectActions();
     }
-    void frame(const std::string &sidecar, const wire::AttemptId &id, std::uint32_t sequence, const std::string &data)
+    void receiveFrame(const std::string &sidecar, const wire::AttemptId &id, std::uint32_t sequence,
+                      const std::string &data)
     {
         wire::Envelope message;
         *message.mutable_call_frame()->mutable_id() = id;
         message.mutable_call_frame()->set_sequence(sequence);
         message.mutable_call_frame()->set_data(data);
-        say(sidecar, message);
+        receiveMessage(sidecar, message);
     }
-    void end(const std::string &sidecar, const wire::AttemptId &id, std::uint32_t frames, const std::string &data,
-             CallOutcome outcome = CallOutcome::Complete, FailureReason failure = FailureReason::None)
+    void receiveEnd(const std::string &sidecar, const wire::AttemptId &id, std::uint32_t frames,
+                    const std::string &data, CallOutcome outcome = CallOutcome::Complete,
+                    FailureReason failure = FailureReason::None)
     {
         wire::Envelope message;
         auto &out = *message.mutable_call_end();
@@ -174,10 +177,10 @@
         out.set_digest(digest.value());
         out.set_outcome(static_cast<std::uint32_t>(outcome));
         out.set_failure(static_cast<std::uint32_t>(failure));
-        say(sidecar, message);
+        receiveMessage(sidecar, message);
     }
-    void refuse(const std::string &sidecar, const wire::AttemptId &id, RefusalReason reason, bool proved,
-                std::uint64_t revision = 1)
+    void receiveRefusal(const std::string &sidecar, const wire::AttemptId &id, RefusalReason reason, bool proved,
+                        std::uint64_t revision = 1)
     {
         wire::Envelope message;
         auto &out = *message.mutable_call_refused();
@@ -186,13 +189,13 @@
         out.set_proved_not_run(proved);
         out.set_config_revision(revision);
         out.set_retry_after_us(1'500'000);
-        say(sidecar, message);
+        receiveMessage(sidecar, message);
     }
-    wire::AttemptId idOf(std::size_t index) const
+    wire::AttemptId attemptId(std::size_t index) const
     {
         return sent.at(index).message.call_request().id();
     }
-    void member(const std::string &name, MemberState state, std::uint64_t incarnation = 1)
+    void updateMember(const std::string &name, MemberState state, std::uint64_t incarnation = 1)
     {
         Member out;
         out.name = name;
@@ -200,9 +203,9 @@
         out.state = state;
         out.dataCentre = "hall-east";
         entry->onMember(out, now);
-        collect();
+        collectActions();
     }
-    void slotTable(std::uint64_t revision, const std::string &owner, std::uint64_t fence)
+    void updateSlotTable(std::uint64_t revision, const std::string &owner, std::uint64_t fence)
     {
         config::SlotTable table;
         table.set_service("count");
@@ -213,7 +216,7 @@
         range.set_owner_incarnation(1);
         range.set_fence(fence);
         entry->onSlotTable(table, now);
-        collect();
+        collectActions();
     }
 };
 
--- a/tests/unit/routing_parts_test.cpp
+++ b/tests/unit/routing_parts_test.cpp
@@ -1,4 +1,4 @@
-// The parts of an entry's decisions that stand alone: verdict rule, answer assembly, retry budget, slot view.
+// Tests of the verdict rule, answer assembler, retry budget and slot view.
 #include "routing/answer_assembler.h"
 #include "routing/retry_budget.h"
 #include "routing/slot_view.h"
@@ -10,36 +10,37 @@
 namespace anvilscale {
 namespace {
 
-using Fates = std::vector<AttemptFate>;
+using Outcomes = std::vector<AttemptOutcome>;
 
-TEST(Verdict, NotRunNeedsAProofOfEveryAttempt)
+TEST(Verdict, NotRunNeedsProofForEveryAttempt)
 {
-    EXPECT_EQ(verdictOf(Fates{}, KeyProof::NoKey), Verdict::NotRun);
-    EXPECT_EQ(verdictOf(Fates{AttemptFate::NeverSent, AttemptFate::RefusedNotRun}, KeyProof::NoKey), Verdict::NotRun);
-    EXPECT_EQ(verdictOf(Fates{AttemptFate::MayHaveRun, AttemptFate::RefusedNotRun}, KeyProof::NoKey),
+    EXPECT_EQ(verdictOf(Outcomes{}, KeyProof::NoKey), Verdict::NotRun);
+    EXPECT_EQ(verdictOf(Outcomes{AttemptOutcome::NeverSent, AttemptOutcome::RefusedNotRun}, KeyProof::NoKey),
+              Verdict::NotRun);
+    EXPECT_EQ(verdictOf(Outcomes{AttemptOutcome::MayHaveRun, AttemptOutcome::RefusedNotRun}, KeyProof::NoKey),
               Verdict::OutcomeUnknown);
-    EXPECT_EQ(verdictOf(Fates{AttemptFate::RanAndFailed}, KeyProof::NoKey), Verdict::Failed);
+    EXPECT_EQ(verdictOf(Outcomes{AttemptOutcome::RanAndFailed}, KeyProof::NoKey), Verdict::Failed);
 }
 
-// The caller repeats a call through another entry after a timeout. The first entry's attempt runs; the second entry
-// refuses the repeat before it sends anything. "Not run" would be false: the key was seen elsewhere.
-TEST(Verdict, RepeatedKeyIsNotProvedByThisEntryAlone)
+// Guards against a false "not run": an attempt of another entry may have run a call with the same key.
+TEST(Verdict, RepeatedKeyNeedsProofFromSlotOwner)
 {
-    EXPECT_EQ(verdictOf(Fates{}, KeyProof::NotProved), Verdict::OutcomeUnknown);
-    EXPECT_EQ(verdictOf(Fates{AttemptFate::RefusedNotRun}, KeyProof::NotProved), Verdict::OutcomeUnknown);
-    EXPECT_EQ(verdictOf(Fates{AttemptFate::RefusedNotRun}, KeyProof::OwnerProved), Verdict::NotRun);
+    EXPECT_EQ(verdictOf(Outcomes{}, KeyProof::NotProved), Verdict::OutcomeUnknown);
+    EXPECT_EQ(verdictOf(Outcomes{AttemptOutcome::RefusedNotRun}, KeyProof::NotProved), Verdict::OutcomeUnknown);
+    EXPECT_EQ(verdictOf(Outcomes{AttemptOutcome::RefusedNotRun}, KeyProof::OwnerProved), Verdict::NotRun);
 }
 
 RC_GTEST_PROP(Verdict, AnyAttemptThatMayHaveRunRulesOutNotRun, ())
 {
     const auto numbers = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4));
-    Fates fates;
+    Outcomes outcomes;
     bool mayHaveRun = false;
     for (const auto number : numbers) {
-        fates.push_back(static_cast<AttemptFate>(number));
-        mayHaveRun = mayHaveRun || fates.back() == AttemptFate::MayHaveRun || fates.back() == AttemptFate::RanAndFailed;
+        outcomes.push_back(static_cast<AttemptOutcome>(number));
+        mayHaveRun = mayHaveRun || outcomes.back() == AttemptOutcome::MayHaveRun
+                     || outcomes.back() == AttemptOutcome::RanAndFailed;
     }
-    const bool notRun = verdictOf(fates, KeyProof::NoKey) == Verdict::NotRun;
+    const bool notRun = verdictOf(outcomes, KeyProof::NoKey) == Verdict::NotRun;
     RC_ASSERT(notRun == !mayHaveRun);
 }
 
@@ -51,18 +52,17 @@
     return frame;
 }
 
-// Frames cross on their way and some come twice. The caller must get each byte once and in order, and the answer is
-// whole only when the end frame agrees with all of them.
+// Reordered and duplicate frames must neither reorder nor repeat the bytes that the caller receives.
 RC_GTEST_PROP(AnswerAssembler, AnyOrderWithDuplicatesGivesTheAnswerOnce, ())
 {
     const auto count = *rc::gen::inRange<std::uint32_t>(1, 12);
     std::vector<std::uint32_t> order;
     Digest digest;
-    std::string whole;
+    std::string expected;
     for (std::uint32_t i = 0; i < count; ++i) {
         order.push_back(i);
         digest.add(std::to_string(i));
-        whole += std::to_string(i);
+        expected += std::to_string(i);
     }
     const auto extra = *rc::gen::container<std::vector<std::uint32_t>>(rc::gen::inRange<std::uint32_t>(0, count));
     order.insert(order.end(), extra.begin(), extra.end());
@@ -74,21 +74,21 @@
     wire::CallEnd end;
     end.set_frames(count);
     end.set_digest(digest.value());
-    const auto endPosition = random.below(order.size());
-    std::string got;
+    const auto endIndex = random.below(order.size());
+    std::string assembled;
     std::size_t dropped = 0;
     for (std::size_t i = 0; i < order.size(); ++i) {
-        if (i == endPosition) {
-            assembler.end(end);
+        if (i == endIndex) {
+            assembler.setEnd(end);
         }
         std::vector<wire::CallFrame> ready;
         const auto result = assembler.add(frameOf(order[i], std::to_string(order[i])), ready);
         dropped += result == FrameResult::Dropped ? 1 : 0;
         for (const auto &frame : ready) {
-            got += frame.data();
+            assembled += frame.data();
         }
     }
-    RC_ASSERT(got == whole);
+    RC_ASSERT(assembled == expected);
     RC_ASSERT(dropped == extra.size());
     RC_ASSERT(assembler.state(true) == AnswerState::Whole);
 }
@@ -105,7 +105,7 @@
         wire::CallEnd end;
         end.set_frames(wrongCount ? 1 : 2);
         end.set_digest(digest.value());
-        assembler.end(end);
+        assembler.setEnd(end);
         EXPECT_EQ(assembler.state(true), AnswerState::Broken);
         EXPECT_EQ(assembler.state(false), AnswerState::Whole);
     }
@@ -115,18 +115,18 @@
 {
     RetryBudget budget;
     TimePoint now{Seconds(1)};
-    std::uint32_t taken = 0;
+    std::uint32_t takenRetries = 0;
     for (int i = 0; i < 1000; ++i) {
         now += Milliseconds(10);
         budget.countFirst(now);
-        taken += budget.take(0.1, now) ? 1 : 0;
+        takenRetries += budget.take(0.1, now) ? 1 : 0;
     }
-    EXPECT_LE(taken, 102U);
-    EXPECT_GE(taken, 90U);
+    EXPECT_LE(takenRetries, 102U);
+    EXPECT_GE(takenRetries, 90U);
     EXPECT_FALSE(budget.take(0.0, now));
 }
 
-TEST(SlotView, DisownedSlotWaitsForANewerTable)
+TEST(SlotView, RefusedSlotHasNoOwnerUntilNewerTable)
 {
     SlotView view;
     config::SlotTable table;
@@ -137,16 +137,16 @@
     range.set_count(8);
     range.set_owner("a");
     range.set_fence(5);
-    EXPECT_TRUE(view.update(table));
+    EXPECT_TRUE(view.applyTable(table));
     EXPECT_EQ(view.owner("admit", 7)->owner, "a");
     EXPECT_FALSE(view.owner("admit", 8));
-    view.disown("admit", 7, 5);
+    view.markNotOwner("admit", 7, 5);
     EXPECT_FALSE(view.owner("admit", 7));
-    EXPECT_FALSE(view.update(table));
+    EXPECT_FALSE(view.applyTable(table));
     table.set_table_revision(2);
     table.mutable_ranges(0)->set_owner("b");
     table.mutable_ranges(0)->set_fence(6);
-    EXPECT_TRUE(view.update(table));
+    EXPECT_TRUE(view.applyTable(table));
     EXPECT_EQ(view.owner("admit", 7)->owner, "b");
 }
 
