--- a/include/anvilscale/residency.h
+++ b/include/anvilscale/residency.h
@@ -1,6 +1,5 @@
-// Residency library: every decision of a sidecar, as one state machine without I/O. A sidecar is the only process
-// that talks to its endpoint, so pins, evictions, at-most-once, drain and fencing are decided here, by one thread.
-// Events go in by the on...() functions; what is to be done comes out of takeActions().
+// Residency library: the decisions of a sidecar as a single-threaded state machine without I/O. Events enter through
+// the on...() functions and the resulting actions are returned by takeActions().
 #pragma once
 
 #include "wire.pb.h"
@@ -30,8 +29,8 @@
 enum class OrderKind : std::uint8_t {
     Load,
     Unload,
-    Fence, ///< makes a checking endpoint refuse all orders with an older fencing number
-    List, ///< read what is loaded, what runs, and the engine's incarnation
+    Fence, ///< makes an endpoint that checks fencing numbers refuse all orders with an older one
+    List, ///< reads the loaded adapters, the running calls and the engine's incarnation
     Count
 };
 template<>
@@ -40,28 +39,28 @@
     static constexpr std::array<std::string_view, enumCount<OrderKind>> table{"load", "unload", "fence", "list"};
 };
 
-/// A message to another process.
+/// Sends a message to another process.
 struct SendMessage
 {
     PeerHandle to;
     wire::Envelope message;
-    std::string member = {}; ///< set if `to` is none: the sidecar of that name (hand-over of slots)
+    std::string member = {}; ///< name of the receiving sidecar; set if `to` is none (slot transfer)
 };
-/// Send the call to the endpoint now. Its frames go to `to` under `request.id()`.
+/// Sends the call to the endpoint. The frames of the answer go to `to` under `request.id()`.
 struct StartExecution
 {
     ExecutionHandle execution;
     PeerHandle to;
     wire::CallRequest request;
-    bool keepAnswer = false; ///< the body is handed back with onExecutionEnded
-    /// Not to be sent at this time or later: it ends as not sent instead. The process may be stopped between the
-    /// decision and the send, and on waking its endpoint may have left or restarted without the adapter.
+    bool keepAnswer = false; ///< the body is passed to onExecutionEnded
+    /// From this time on the call must not be sent and ends as not sent. Prevents a process that was paused after the
+    /// decision from sending to an endpoint that has since left or restarted without the adapter.
     TimePoint sendBefore = TimePoint::max();
 };
-/// From the decision to start a call to its send: a hand-over between two threads takes well under a millisecond, so
-/// that a longer one means that the process was stopped.
-constexpr Duration sendLimit = Milliseconds(500);
-/// A repeat listens to a running execution, from its first byte.
+/// Maximum time from the decision to start a call to its send. Passing it between threads takes well under a
+/// millisecond, so a longer delay means that the process was paused.
+constexpr Duration maxSendDelay = Milliseconds(500);
+/// Attaches a repeat to a running execution; it receives the answer from the first byte.
 struct AttachListener
 {
     ExecutionHandle execution;
@@ -69,26 +68,28 @@
     wire::AttemptId id;
     std::uint64_t creditBytes = 0;
 };
+/// Stops the frames of an execution to one attempt.
 struct DetachListener
 {
     ExecutionHandle execution;
     wire::AttemptId id;
 };
-/// Close the connection to the endpoint and report when the end is confirmed. Listeners that are still there get an
-/// end with the reason `why`.
+/// Closes the connection to the endpoint; onExecutionEnded reports the confirmed end. Listeners that are still attached
+/// get an end frame with the reason `why`.
 struct CancelExecution
 {
     ExecutionHandle execution;
     FailureReason why = FailureReason::CallerGone;
 };
-/// Send a finished answer as frames and an end frame.
+/// Sends a finished answer as frames and an end frame.
 struct ReplayAnswer
 {
     PeerHandle to;
     wire::AttemptId id;
     std::shared_ptr<const KeptAnswer> answer;
-    std::uint64_t creditBytes = 0; ///< of the request that asks for it
+    std::uint64_t creditBytes = 0; ///< initial credit of the repeated request
 };
+/// Sends an order to the engine; its reply is reported by onOrderDone or onEngineList.
 struct SendOrder
 {
     OrderHandle order;
@@ -98,56 +99,59 @@
     std::uint64_t fence = 0;
     Duration timeout{};
 };
+/// Submits a request to the key-value service; its reply is reported by onKvReply.
 struct SubmitKv
 {
     KvRequest request;
 };
-/// All work is done after a drain: the process may exit.
+/// The drain is complete and the process may exit.
 struct Drained
 {
 };
 using SidecarAction = std::variant<SendMessage, StartExecution, AttachListener, DetachListener, CancelExecution,
                                    ReplayAnswer, SendOrder, SubmitKv, Drained>;
 
-/// What an engine says of itself, on List or in a report. A hint but for the incarnation and the adapters of a List.
+/// State that an engine reports in reply to a List order. Only the incarnation and the loaded adapters are
+/// authoritative; the other fields are hints.
 struct EngineList
 {
     std::uint64_t incarnation = 0;
     std::vector<AdapterVersion> loaded;
-    std::vector<std::pair<AdapterVersion, std::uint32_t>> running; ///< calls running by adapter
+    std::vector<std::pair<AdapterVersion, std::uint32_t>> running; ///< number of running calls by adapter
     std::uint64_t highestFence = 0;
 };
 
+/// Periodic load report of an engine. All fields but the incarnation are hints.
 struct EngineReport
 {
     std::uint64_t incarnation = 0;
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     std::uint32_t stepFillPermille = 0;
-    std::vector<std::uint64_t> prefixes; ///< newly cached, late and with gaps
+    std::vector<std::uint64_t> prefixes; ///< newly cached prefixes; may be delayed and incomplete
 };
 
-/// Single safeguards, switched off only by tests that show that a check finds the failure which the safeguard
-/// prevents. All are on in the product.
+/// Safeguards that a test may disable one by one to show that the failure they prevent is detected. All are enabled in
+/// production.
 struct Safeguards
 {
-    bool pinBeforeSend = true; ///< the pin is taken before the call goes to the engine, not at its first byte
-    bool evictOnlyUnpinned = true; ///< no unload while a call may run on the adapter
-    bool unknownEndKeepsPin = true; ///< a broken connection is no end of the execution
-    bool unknownAfterLostReply = true; ///< an order whose reply was lost is settled by the engine's list only
-    bool listAfterChange = true; ///< a list that was asked for before a change says nothing about it
+    bool pinBeforeSend = true; ///< pin the adapter before the call is sent to the engine, not at its first byte
+    bool evictOnlyUnpinned = true; ///< do not unload an adapter while a call may run on it
+    bool unknownEndKeepsPin = true; ///< do not treat a broken connection as the end of the execution
+    bool unknownAfterLostReply = true; ///< resolve an order whose reply was lost only from the engine's list
+    bool listAfterChange = true; ///< ignore a list for an adapter that changed after the list was requested
     bool recoveryWait = true; ///< a new sidecar waits for its predecessor's calls and orders
-    bool fenceCheck = true; ///< fence the predecessor; act on no grant with an old fencing number
-    bool grantExpiry = true; ///< a grant that is too old is not acted on
-    bool grantTarget = true; ///< a grant for an earlier start of this sidecar is not acted on
-    bool leaseRecheck = true; ///< slot ownership is asked again directly before the call is sent
+    bool fenceCheck = true; ///< fence the predecessor and reject grants with an old fencing number
+    bool grantExpiry = true; ///< ignore expired grants
+    bool grantTarget = true; ///< ignore grants for an earlier incarnation of this sidecar
+    bool leaseRecheck = true; ///< check slot ownership again directly before the call is sent
     bool staleRevisionRefusal = true; ///< refuse a call resolved at an older revision that names another version
-    bool duplicateFilter = true; ///< an attempt that was seen is not taken again
+    bool duplicateFilter = true; ///< drop an attempt that was already received
 };
 
-/// Which waiting call is served next within a class; see docs/design/residency.md.
+/// Order in which waiting calls of one class are served; see docs/design/residency.md.
 enum class QueuePolicy : std::uint8_t {
-    Deadline, ///< the nearest deadline
+    Deadline, ///< earliest deadline first
     NewestFirst,
     Arrival,
     Count
@@ -158,14 +162,15 @@
     static constexpr std::array<std::string_view, enumCount<QueuePolicy>> table{"deadline", "newest_first", "arrival"};
 };
 
-/// What is done against overload, each measurable alone. The defaults are what the product does.
-struct OverloadRules
+/// Overload control options. Production uses the defaults.
+struct OverloadOptions
 {
     QueuePolicy order = QueuePolicy::Deadline;
-    bool attachRepeats = true; ///< a repeat listens to the running execution of its key
-    bool refuseUnreachable = true; ///< a call that can't meet its deadline is refused at once
+    bool attachRepeats = true; ///< attach a repeat to the running execution of its key
+    bool refuseUnreachable = true; ///< refuse a call at once if it can't meet its deadline
 };
 
+/// Construction parameters of SidecarDecisions.
 struct SidecarInit
 {
     std::string name;
@@ -176,19 +181,20 @@
     std::vector<std::string> services;
     std::string keyPrefix = "/anvilscale/";
     std::uint32_t slots = 4; ///< adapter slots of the engine
-    std::uint32_t batchLimit = 16; ///< calls given to the endpoint at a time
+    std::uint32_t batchLimit = 16; ///< maximum number of calls running at the endpoint
     bool endpointChecksFence = true;
-    Duration orderTimeout = Seconds(60); ///< longest time an order may take effect after it was sent
+    Duration orderTimeout = Seconds(60); ///< maximum time after the send in which an order may take effect
     SeenKeys::Limits seenKeys;
     Timing timing;
     const ConfigStore *config = nullptr;
     TimerService *timers = nullptr;
     std::uint64_t seed = 1;
     Safeguards safeguards;
-    OverloadRules overload;
+    OverloadOptions overload;
 };
 
-/// Read by /metrics and `anvilctl status`. Counters only grow; the others are as of now.
+/// Counters and gauges for /metrics and `anvilctl status`. `running`, `queued` and `resident` are current values; the
+/// others only grow.
 struct SidecarStats
 {
     Counters<RefusalReason> refusals;
@@ -197,20 +203,22 @@
     std::uint64_t attached = 0;
     std::uint64_t replayed = 0;
     std::uint64_t loads = 0;
-    std::uint64_t reloads = 0; ///< loads of a version that had been evicted before
+    std::uint64_t reloads = 0; ///< loads of a version that was evicted before
     std::uint64_t evictions = 0;
-    std::uint64_t stalledCalls = 0; ///< calls that waited for their adapter
+    std::uint64_t stalledCalls = 0; ///< started calls that waited for their adapter
     Duration stallTotal{};
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
     std::uint32_t resident = 0;
     std::uint64_t droppedMessages = 0;
-    std::uint64_t engineRestarts = 0; ///< noticed by a new incarnation
-    std::uint64_t quarantines = 0; ///< versions put in quarantine because they kept failing to load
-    std::uint64_t cancelsAvoided = 0; ///< repeats that found their execution before its deferred cancel
+    std::uint64_t engineRestarts = 0; ///< detected by a new incarnation
+    std::uint64_t quarantines = 0; ///< versions quarantined after repeated load failures
+    std::uint64_t cancelsAvoided = 0; ///< repeats that attached to an execution before its deferred cancel
     std::uint64_t heartbeatBytes = 0;
 };
 
+/// Decides on admission, residency, execution, drain and fencing for one endpoint. A sidecar is the only process that
+/// talks to its endpoint, so its decisions need no coordination. Not thread-safe.
 class SidecarDecisions
 {
 public:
@@ -219,33 +227,37 @@
     SidecarDecisions(const SidecarDecisions &) = delete;
     SidecarDecisions &operator=(const SidecarDecisions &) = delete;
 
-    /// Reads the engine's list, fences predecessors, asks for its slots. No call is admitted before recovery ends.
+    /// Starts recovery: reads the engine's list, fences predecessors and requests its slots. Calls are admitted after
+    /// recovery.
     void start(Now now);
-    /// Any message from another process.
+    /// Handles a message from another process.
     void onMessage(PeerHandle from, const wire::Envelope &message, Now now);
     void onPeerLost(PeerHandle peer, Now now);
-    /// The first byte of the endpoint's answer was seen.
+    /// The first byte of the endpoint's answer was received.
     void onExecutionStarted(ExecutionHandle execution, Now now);
-    /// Bytes may have been sent in every outcome but EndpointUnreachable, which proves that none were.
+    /// The execution ended. Only the failure EndpointUnreachable proves that nothing was sent to the endpoint.
     void onExecutionEnded(ExecutionHandle execution, KeptAnswer answer, std::uint32_t generatedTokens, Now now);
     void onOrderDone(OrderHandle order, OrderOutcome outcome, Now now);
     void onEngineList(OrderHandle order, const EngineList &list, Now now);
     void onEngineReport(const EngineReport &report, Now now);
     /// The endpoint cannot be reached.
     void onEngineLost(Now now);
-    /// The configuration has moved to a higher revision.
+    /// The configuration changed to a higher revision.
     void onConfigChanged(Now now);
     void onKvReply(const KvReply &reply, Now now);
-    /// Live sidecars by service or base model, from the membership.
+    /// Updates the members that share this sidecar's service or base model.
     void onMembers(const std::vector<Member> &members, Now now);
-    /// SIGTERM, a drain order or the VM list. Final.
+    /// Starts an irreversible drain, on SIGTERM, a drain order or a change of the VM list.
     void drain(Now now);
+    /// Reports whether the configuration may be out of date.
     void onConfigStale(bool stale, Now now);
 
+    /// Returns the actions decided since the last call, in order.
     std::vector<SidecarAction> takeActions();
     const SidecarStats &stats() const;
-    /// For `anvilctl adapters`: each adapter known with its state, pins and waiting calls.
+    /// Returns state, pins and waiting calls of each tracked adapter, for `anvilctl adapters`.
     std::vector<wire::AdapterState> adapters() const;
+    /// True once a drain has started.
     bool leaving() const;
 
 private:
--- a/src/residency/adapter_table.cpp
+++ b/src/residency/adapter_table.cpp
@@ -1,4 +1,4 @@
-// Transitions of the adapter table.
+// State transitions of the adapter table.
 #include "adapter_table.h"
 
 #include <algorithm>
@@ -12,35 +12,35 @@
 
 AdapterRecord &AdapterTable::add(const AdapterVersion &which)
 {
-    auto [place, isNew] = records_.try_emplace(which);
+    auto [it, isNew] = records_.try_emplace(which);
     if (isNew) {
-        place->second.which = which;
+        it->second.which = which;
     }
-    return place->second;
+    return it->second;
 }
 
 AdapterRecord *AdapterTable::find(const AdapterVersion &which)
 {
-    const auto place = records_.find(which);
-    return place == records_.end() ? nullptr : &place->second;
+    const auto it = records_.find(which);
+    return it == records_.end() ? nullptr : &it->second;
 }
 
 const AdapterRecord *AdapterTable::find(const AdapterVersion &which) const
 {
-    const auto place = records_.find(which);
-    return place == records_.end() ? nullptr : &place->second;
+    const auto it = records_.find(which);
+    return it == records_.end() ? nullptr : &it->second;
 }
 
-std::uint32_t AdapterTable::resident() const
+std::uint32_t AdapterTable::residentCount() const
 {
     return static_cast<std::uint32_t>(std::ranges::count_if(
         records_, [](const auto &entry) { return entry.second.state == ResidencyState::Resident; }));
 }
 
-std::uint32_t AdapterTable::occupiedByOthers() const
+std::uint32_t AdapterTable::occupiedByNonUrgent() const
 {
     return static_cast<std::uint32_t>(std::ranges::count_if(
-        records_, [](const auto &entry) { return entry.second.occupiesSlot() && !entry.second.urgent; }));
+        records_, [](const auto &entry) { return entry.second.occupiesSlot() && !entry.second.isUrgent; }));
 }
 
 bool AdapterTable::pin(AdapterRecord &record, TimePoint now)
@@ -60,73 +60,74 @@
     }
 }
 
-void AdapterTable::pinToLingering(AdapterRecord &record, std::uint64_t mark, TimePoint now)
+void AdapterTable::convertPinToOrphan(AdapterRecord &record, std::uint64_t orderNumber, TimePoint now)
 {
     unpin(record);
     if (!safeguards_.unknownEndKeepsPin) {
         return;
     }
-    ++record.lingering;
-    record.lingeringMark = mark;
-    record.lingeringFrom = now;
+    ++record.orphanedCalls;
+    record.orphanOrderNumber = orderNumber;
+    record.orphanedAt = now;
 }
 
 void AdapterTable::beginLoad(AdapterRecord &record, OrderHandle order)
 {
-    move(record, ResidencyState::Loading);
+    changeState(record, ResidencyState::Loading);
     record.order = order;
 }
 
-bool AdapterTable::beginEvict(AdapterRecord &record, OrderHandle order)
+bool AdapterTable::beginEviction(AdapterRecord &record, OrderHandle order)
 {
-    // Without this check the engine drops an adapter under a running call, which then fails or answers from the base
-    // model. Evicting takes no pin, so none can come between this check and the order's end.
-    if (record.state != ResidencyState::Resident || (safeguards_.evictOnlyUnpinned && record.mayRun())) {
+    // Prevents the engine from unloading an adapter under a running call, which would fail or be answered from the base
+    // model. No pin is granted in Evicting, so the check holds until the order completes.
+    if (record.state != ResidencyState::Resident || (safeguards_.evictOnlyUnpinned && record.mayHaveRunningCalls())) {
         return false;
     }
-    move(record, ResidencyState::Evicting);
+    changeState(record, ResidencyState::Evicting);
     record.order = order;
     return true;
 }
 
-void AdapterTable::settle(AdapterRecord &record, ResidencyState state, std::uint64_t mark, TimePoint now)
+void AdapterTable::setState(AdapterRecord &record, ResidencyState state, std::uint64_t orderNumber, TimePoint now)
 {
     if (state == ResidencyState::Resident && record.state != ResidencyState::Resident) {
         record.residentSince = now;
         record.wasResident = true;
         record.lastUsed = now;
     }
-    move(record, state);
+    changeState(record, state);
     record.order = {};
-    record.changeMark = mark;
+    record.changeOrderNumber = orderNumber;
     record.lostOrder = OrderKind::List;
 }
 
-void AdapterTable::lose(AdapterRecord &record, OrderKind lost, TimePoint effectUntil, std::uint64_t mark)
+void AdapterTable::setUnknown(AdapterRecord &record, OrderKind lostOrder, TimePoint effectDeadline,
+                              std::uint64_t orderNumber)
 {
-    move(record, ResidencyState::Unknown);
+    changeState(record, ResidencyState::Unknown);
     record.order = {};
-    record.changeMark = mark;
-    record.lostOrder = lost;
-    record.effectUntil = effectUntil;
-    record.effectShows = true;
+    record.changeOrderNumber = orderNumber;
+    record.lostOrder = lostOrder;
+    record.effectDeadline = effectDeadline;
+    record.isEffectObservable = true;
 }
 
-void AdapterTable::forget(TimePoint before)
+void AdapterTable::removeIdle(TimePoint idleSince)
 {
     std::erase_if(records_, [&](const auto &entry) {
         const auto &record = entry.second;
-        return !record.occupiesSlot() && !record.mayRun() && record.waiting == 0 && record.lastUsed < before
-               && record.notBefore < before;
+        return !record.occupiesSlot() && !record.mayHaveRunningCalls() && record.waiting == 0
+               && record.lastUsed < idleSince && record.earliestLoadAt < idleSince;
     });
 }
 
-void AdapterTable::move(AdapterRecord &record, ResidencyState state)
+void AdapterTable::changeState(AdapterRecord &record, ResidencyState state)
 {
-    const bool before = record.occupiesSlot();
+    const bool wasOccupied = record.occupiesSlot();
     record.state = state;
-    occupied_ += static_cast<std::uint32_t>(record.occupiesSlot());
-    occupied_ -= static_cast<std::uint32_t>(before);
+    occupiedSlots_ += static_cast<std::uint32_t>(record.occupiesSlot());
+    occupiedSlots_ -= static_cast<std::uint32_t>(wasOccupied);
 }
 
 } // namespace anvilscale
--- a/src/residency/adapter_table.h
+++ b/src/residency/adapter_table.h
@@ -1,5 +1,4 @@
-// The adapters that this sidecar has an interest in: residency, pins, demand and load failures. All transitions are
-// functions of the table, so that the rules about pins and slots stand in one place.
+// Table of the adapters tracked by a sidecar: residency state, pins, demand and load failures.
 #pragma once
 
 #include "decayed_rate.h"
@@ -11,56 +10,58 @@
 
 namespace anvilscale {
 
+/// State of one adapter version.
 struct AdapterRecord
 {
     AdapterVersion which;
     ResidencyState state = ResidencyState::Absent;
 
-    // Calls of this sidecar that are open at the engine. Invariant: grows only in Resident.
+    // Open calls of this sidecar at the engine. Invariant: grows only in Resident.
     std::uint32_t pins = 0;
-    // Calls that may still run though their connection broke, or that a predecessor started. Released only by a list
-    // that was asked for after lingeringMark and lingeringFrom and shows none running for this adapter.
-    std::uint32_t lingering = 0;
-    std::uint64_t lingeringMark = 0;
-    TimePoint lingeringFrom;
+    // Calls that may still run although their connection broke or a predecessor started them. Released only by a list
+    // that was requested after orphanOrderNumber and orphanedAt and shows no running call for this adapter.
+    std::uint32_t orphanedCalls = 0;
+    std::uint64_t orphanOrderNumber = 0;
+    TimePoint orphanedAt;
 
     // Invariant: set exactly in Loading and Evicting.
     OrderHandle order;
-    // Number of the latest order issued before the last change of `state`. A list with a larger number was asked for
-    // after the change, and only such a list may speak about it.
-    std::uint64_t changeMark = 0;
-    // In Unknown: what the lost order would do (List: no order is in flight), and until when it may do it.
+    // Number of the last order issued before the last change of `state`. Only a list with a larger number, which was
+    // requested after the change, may update the state.
+    std::uint64_t changeOrderNumber = 0;
+    // In Unknown: kind of the lost order (List: no order is in flight), and the time until which it may take effect.
     OrderKind lostOrder = OrderKind::List;
-    TimePoint effectUntil;
-    // In Unknown: a list that shows the lost order's effect proves that it has come. Not so for an unload given around
-    // a restart of the engine: the adapter is gone by the restart, and the unload may still land after a new load.
-    bool effectShows = true;
+    TimePoint effectDeadline;
+    // In Unknown: whether the effect of the lost order in a list proves that it was executed. False for an unload sent
+    // around an engine restart: the restart removed the adapter and the unload may still execute after a new load.
+    bool isEffectObservable = true;
 
-    std::uint32_t waiting = 0; ///< calls in the queue
+    std::uint32_t waiting = 0; ///< queued calls
     DecayedRate demand;
     DecayedRate reloads;
     TimePoint residentSince;
     TimePoint lastUsed;
-    bool urgent = false; ///< its latest call was urgent
+    bool isUrgent = false; ///< the latest call was urgent
     bool wasResident = false;
-    std::uint32_t failures = 0; ///< loads that failed in a row
-    TimePoint notBefore; ///< no load is tried before
-    bool quarantined = false;
-    // No further call is started, so that the pins fall to zero: a call of another adapter has waited too long.
-    bool yielding = false;
-    std::string route; ///< the route that named it last
-    bool superseded = false; ///< that route names another version now
+    std::uint32_t loadFailures = 0; ///< consecutive failed loads
+    TimePoint earliestLoadAt; ///< no load is attempted before this time
+    bool isQuarantined = false;
+    // No further call is started, so that the pins fall to zero and a starving call of another adapter gets the slot.
+    bool isYielding = false;
+    std::string route; ///< route of the latest call
+    bool isSuperseded = false; ///< `route` now names another version
 
     bool occupiesSlot() const
     {
         return state != ResidencyState::Absent;
     }
-    bool mayRun() const
+    bool mayHaveRunningCalls() const
     {
-        return pins != 0 || lingering != 0;
+        return pins != 0 || orphanedCalls != 0;
     }
 };
 
+/// Enforces the rules on pins and slots: all state transitions of adapters go through this class.
 class AdapterTable
 {
 public:
@@ -80,35 +81,37 @@
         return records_;
     }
 
-    /// Adapters in Loading, Resident, Evicting or Unknown: each holds a slot of the engine, or may hold one.
-    std::uint32_t occupied() const
+    /// Number of adapters that hold or may hold a slot of the engine (Loading, Resident, Evicting or Unknown).
+    std::uint32_t occupiedSlots() const
     {
-        return occupied_;
+        return occupiedSlots_;
     }
-    std::uint32_t resident() const;
-    std::uint32_t occupiedByOthers() const; ///< slots held by adapters that serve no urgent calls
+    std::uint32_t residentCount() const;
+    std::uint32_t occupiedByNonUrgent() const; ///< slots held by adapters whose latest call was not urgent
 
-    /// False if the adapter takes no pin now.
+    /// Returns false if the adapter is not resident.
     bool pin(AdapterRecord &record, TimePoint now);
     void unpin(AdapterRecord &record);
-    /// The connection of a pinned call broke: the call may still run.
-    void pinToLingering(AdapterRecord &record, std::uint64_t mark, TimePoint now);
+    /// Converts the pin of a call whose connection broke: the call may still run at the engine.
+    void convertPinToOrphan(AdapterRecord &record, std::uint64_t orderNumber, TimePoint now);
 
     void beginLoad(AdapterRecord &record, OrderHandle order);
-    /// False if calls may run on the adapter.
-    bool beginEvict(AdapterRecord &record, OrderHandle order);
-    void settle(AdapterRecord &record, ResidencyState state, std::uint64_t mark, TimePoint now);
-    void lose(AdapterRecord &record, OrderKind lost, TimePoint effectUntil, std::uint64_t mark);
+    /// Returns false if the adapter is not resident or calls may run on it.
+    bool beginEviction(AdapterRecord &record, OrderHandle order);
+    /// Sets a confirmed state. `orderNumber` is the number of the last order issued.
+    void setState(AdapterRecord &record, ResidencyState state, std::uint64_t orderNumber, TimePoint now);
+    /// Sets Unknown after an order whose reply was lost; it may take effect until `effectDeadline`.
+    void setUnknown(AdapterRecord &record, OrderKind lostOrder, TimePoint effectDeadline, std::uint64_t orderNumber);
 
-    /// Forgets absent adapters in which nobody has had an interest since `before`.
-    void forget(TimePoint before);
+    /// Removes absent adapters that have not been used since `idleSince`.
+    void removeIdle(TimePoint idleSince);
 
 private:
-    void move(AdapterRecord &record, ResidencyState state);
+    void changeState(AdapterRecord &record, ResidencyState state);
 
     Records records_;
     Safeguards safeguards_;
-    std::uint32_t occupied_ = 0; // records_ with occupiesSlot()
+    std::uint32_t occupiedSlots_ = 0; // number of records_ with occupiesSlot()
 };
 
 } // namespace anvilscale
--- a/src/residency/attempt_filter.h
+++ b/src/residency/attempt_filter.h
@@ -1,6 +1,4 @@
-// Remembers the attempts that were refused or have ended, so that a message which comes twice is not taken twice.
-// Without it a doubled request could run after its first copy was refused as "not run". The transport (TCP) does not
-// double messages in normal work; the filter covers a sender that repeats after a reconnect, within its bound.
+// Bounded filter for attempts that were refused or have ended.
 #pragma once
 
 #include "listener.h"
@@ -11,6 +9,8 @@
 
 namespace anvilscale {
 
+/// Detects duplicate messages, as from a sender that repeats after a reconnect. Prevents a duplicate from running after
+/// its first copy was refused as "not run". Keeps the latest `capacity` attempts.
 class AttemptFilter
 {
 public:
@@ -18,16 +18,16 @@
 
     void add(const AttemptKey &attempt)
     {
-        if (seen_.size() < capacity) {
-            seen_.push_back(digest(attempt));
+        if (digests_.size() < capacity) {
+            digests_.push_back(digest(attempt));
             return;
         }
-        seen_[next_] = digest(attempt);
-        next_ = (next_ + 1) % capacity;
+        digests_[oldest_] = digest(attempt);
+        oldest_ = (oldest_ + 1) % capacity;
     }
-    bool has(const AttemptKey &attempt) const
+    bool contains(const AttemptKey &attempt) const
     {
-        return std::ranges::find(seen_, digest(attempt)) != seen_.end();
+        return std::ranges::find(digests_, digest(attempt)) != digests_.end();
     }
 
 private:
@@ -37,8 +37,8 @@
         return hash64({reinterpret_cast<const char *>(words), sizeof words});
     }
 
-    std::vector<std::uint64_t> seen_; // a ring once it is full; next_ is its oldest
-    std::size_t next_ = 0;
+    std::vector<std::uint64_t> digests_; // ring buffer once it is full
+    std::size_t oldest_ = 0; // index of the entry to be overwritten next
 };
 
 } // namespace anvilscale
--- a/src/residency/call_queue.h
+++ b/src/residency/call_queue.h
@@ -1,5 +1,4 @@
-// The calls that wait at one sidecar. Bounded; the order of service is a policy type, so that several can be measured
-// on the same machine.
+// Queue of the calls that wait at a sidecar, and the policies for the order in which they are served.
 #pragma once
 
 #include "listener.h"
@@ -19,72 +18,73 @@
 
 struct AdapterRecord;
 
+/// Admitted call that has not been sent to the endpoint.
 struct WaitingCall
 {
-    std::uint64_t number = 0; ///< order of arrival
+    std::uint64_t sequence = 0; ///< increases in order of arrival
     ExecutionHandle execution;
     wire::CallRequest request;
     std::vector<Listener> listeners;
     AdapterVersion which; ///< empty for a plain service and for the base model
-    AdapterRecord *record = nullptr; ///< of `which`; kept by the table while calls wait
+    AdapterRecord *record = nullptr; ///< record of `which`; the table keeps it while calls wait
     CallClass callClass = CallClass::Normal;
-    TimePoint arrived;
+    TimePoint arrivedAt;
     TimePoint deadline;
     std::uint64_t fingerprint = 0;
     std::uint64_t caller = 0;
-    bool atMostOnce = false;
-    std::uint64_t slotFence = 0; ///< atMostOnce: under which the slot was owned at admission
-    bool waitedForAdapter = false;
-    // Set exactly while nobody listens: the place in the queue is kept until then for a repeat.
+    bool isAtMostOnce = false;
+    std::uint64_t slotFence = 0; ///< fencing number of the slot at admission, if isAtMostOnce
+    bool hasWaitedForAdapter = false;
+    // Set exactly while there are no listeners: the call keeps its position for a repeat until then.
     std::optional<TimePoint> dropAt;
 };
 
-/// Gives each waiting call a rank; the smallest goes first. `overShare` tells that the call's caller already has more
-/// than its fair share of the running calls.
+/// Ranks waiting calls; the smallest rank is served first. `overShare` is true if the caller already exceeds its fair
+/// share of the running calls.
 template<class Order>
-concept QueueOrder = requires(const Order &order, const WaitingCall &call, bool overShare, TimePoint now)
+concept QueueOrder = requires(const Order &order, const WaitingCall &call, bool isOverShare, TimePoint now)
 {
     {
-        order.rank(call, overShare, now)
+        order.rank(call, isOverShare, now)
         } -> std::totally_ordered;
 };
 
-/// Class after promotion: a call moves up one class for each `starvationBound` it has waited, so that a steady
-/// stream of urgent calls can't hold a bulk call for ever.
+/// Class after promotion by one for each `starvationBound` waited. Prevents a steady stream of urgent calls from
+/// starving bulk calls.
 inline int promotedClass(const WaitingCall &call, Duration starvationBound, TimePoint now)
 {
-    const auto steps = (now - call.arrived) / starvationBound;
+    const auto steps = (now - call.arrivedAt) / starvationBound;
     return static_cast<int>(call.callClass) - static_cast<int>(std::min<std::int64_t>(steps, enumCount<CallClass>));
 }
 
-/// By class, then fairness over callers, then the nearest deadline.
+/// Orders by class, then fairness between callers, then earliest deadline.
 struct DeadlineOrder
 {
     Duration starvationBound = Seconds(5);
-    std::tuple<int, bool, TimePoint, std::uint64_t> rank(const WaitingCall &call, bool overShare, TimePoint now) const
+    std::tuple<int, bool, TimePoint, std::uint64_t> rank(const WaitingCall &call, bool isOverShare, TimePoint now) const
     {
-        return {promotedClass(call, starvationBound, now), overShare, call.deadline, call.number};
+        return {promotedClass(call, starvationBound, now), isOverShare, call.deadline, call.sequence};
     }
 };
 
-/// By class, then fairness, then the newest: under overload the oldest attempts belong to callers about to leave
-/// (Zhang and Wang, "Four Executions per Call, None Delivered").
+/// Orders by class, then fairness, then newest first: under overload the callers of the oldest attempts are about to
+/// time out (Zhang and Wang, "Four Executions per Call, None Delivered").
 struct NewestFirstOrder
 {
     Duration starvationBound = Seconds(5);
-    std::tuple<int, bool, std::int64_t> rank(const WaitingCall &call, bool overShare, TimePoint now) const
+    std::tuple<int, bool, std::int64_t> rank(const WaitingCall &call, bool isOverShare, TimePoint now) const
     {
-        return {promotedClass(call, starvationBound, now), overShare, -static_cast<std::int64_t>(call.number)};
+        return {promotedClass(call, starvationBound, now), isOverShare, -static_cast<std::int64_t>(call.sequence)};
     }
 };
 
-/// By class, then order of arrival.
+/// Orders by class, then by arrival.
 struct ArrivalOrder
 {
     Duration starvationBound = Seconds(5);
     std::tuple<int, std::uint64_t> rank(const WaitingCall &call, bool /*overShare*/, TimePoint now) const
     {
-        return {promotedClass(call, starvationBound, now), call.number};
+        return {promotedClass(call, starvationBound, now), call.sequence};
     }
 };
 
@@ -104,26 +104,27 @@
     }
 }
 
+/// Waiting calls in order of arrival, with the time at which the next one must be checked.
 class CallQueue
 {
 public:
     using Calls = std::list<WaitingCall>;
-    using Place = Calls::iterator;
+    using Iterator = Calls::iterator;
 
     WaitingCall &push(WaitingCall call)
     {
-        call.number = ++last_;
-        noteDue(call.deadline);
+        call.sequence = ++lastSequence_;
+        scheduleCheck(call.deadline);
         calls_.push_back(std::move(call));
         return calls_.back();
     }
-    WaitingCall take(Place place)
+    WaitingCall remove(Iterator it)
     {
-        WaitingCall call = std::move(*place);
-        calls_.erase(place);
+        WaitingCall call = std::move(*it);
+        calls_.erase(it);
         return call;
     }
-    /// In order of arrival.
+    /// Returns the calls in order of arrival.
     Calls &calls()
     {
         return calls_;
@@ -136,60 +137,60 @@
     {
         return calls_.size();
     }
-    /// The call that is served next among those that `mayStart`; end() if there is none.
+    /// Returns the call to serve next among those that satisfy `mayStart`, or end().
     template<QueueOrder Order, class MayStart, class OverShare>
-    Place best(const Order &order, TimePoint now, MayStart mayStart, OverShare overShare)
+    Iterator findFirst(const Order &order, TimePoint now, MayStart mayStart, OverShare isOverShare)
     {
-        return first(order, now, mayStart, overShare, [](const auto &a, const auto &b) { return a < b; });
+        return select(order, now, mayStart, isOverShare, [](const auto &a, const auto &b) { return a < b; });
     }
-    /// The call that would be served last among those that `match`; end() if there is none.
+    /// Returns the call that would be served last among those that satisfy `match`, or end().
     template<QueueOrder Order, class Match, class OverShare>
-    Place worst(const Order &order, TimePoint now, Match match, OverShare overShare)
+    Iterator findLast(const Order &order, TimePoint now, Match match, OverShare isOverShare)
     {
-        return first(order, now, match, overShare, [](const auto &a, const auto &b) { return b < a; });
+        return select(order, now, match, isOverShare, [](const auto &a, const auto &b) { return b < a; });
     }
-    /// A call waits without a listener: it is looked at again at `due`.
-    void noteDue(TimePoint due)
+    /// Requests a check of the queue at `due`, as for a call without listeners.
+    void scheduleCheck(TimePoint due)
     {
-        nextDue_ = std::min(nextDue_, due);
+        nextCheckAt_ = std::min(nextCheckAt_, due);
     }
-    /// No call's deadline or drop time is reached earlier. May be too early, after a call was taken.
-    std::optional<TimePoint> next() const
+    /// Lower bound on the next deadline or drop time. May be too early after a call was removed.
+    std::optional<TimePoint> nextCheckAt() const
     {
-        return calls_.empty() ? std::nullopt : std::optional(nextDue_);
+        return calls_.empty() ? std::nullopt : std::optional(nextCheckAt_);
     }
-    /// Makes next() exact; to be called when it is reached.
-    void refreshNext()
+    /// Makes nextCheckAt() exact. Call it when that time is reached.
+    void recomputeNextCheck()
     {
-        nextDue_ = TimePoint::max();
+        nextCheckAt_ = TimePoint::max();
         for (const auto &call : calls_) {
-            noteDue(call.dropAt ? std::min(*call.dropAt, call.deadline) : call.deadline);
+            scheduleCheck(call.dropAt ? std::min(*call.dropAt, call.deadline) : call.deadline);
         }
     }
 
 private:
     template<class Order, class Match, class OverShare, class Before>
-    Place first(const Order &order, TimePoint now, Match match, OverShare overShare, Before before)
+    Iterator select(const Order &order, TimePoint now, Match match, OverShare isOverShare, Before before)
     {
         using Rank = decltype(order.rank(calls_.front(), false, now));
-        Place chosen = calls_.end();
-        std::optional<Rank> chosenRank;
-        for (auto place = calls_.begin(); place != calls_.end(); ++place) {
-            if (!match(*place)) {
+        Iterator selected = calls_.end();
+        std::optional<Rank> selectedRank;
+        for (auto it = calls_.begin(); it != calls_.end(); ++it) {
+            if (!match(*it)) {
                 continue;
             }
-            Rank rank = order.rank(*place, overShare(*place), now);
-            if (!chosenRank || before(rank, *chosenRank)) {
-                chosen = place;
-                chosenRank = std::move(rank);
+            Rank rank = order.rank(*it, isOverShare(*it), now);
+            if (!selectedRank || before(rank, *selectedRank)) {
+                selected = it;
+                selectedRank = std::move(rank);
             }
         }
-        return chosen;
+        return selected;
     }
 
     Calls calls_;
-    std::uint64_t last_ = 0;
-    TimePoint nextDue_ = TimePoint::max(); // not later than any call's deadline or drop time
+    std::uint64_t lastSequence_ = 0;
+    TimePoint nextCheckAt_ = TimePoint::max(); // lower bound on all deadlines and drop times
 };
 
 } // namespace anvilscale
--- a/src/residency/decayed_rate.h
+++ b/src/residency/decayed_rate.h
@@ -1,4 +1,4 @@
-// An event rate that forgets exponentially. Costs two numbers for each adapter and no timer.
+// Exponentially decayed event rate.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -7,21 +7,21 @@
 
 namespace anvilscale {
 
-/// Events a second, weighted by exp(-age / memory).
+/// Events per second, weighted by exp(-age / timeConstant). Needs no timer.
 class DecayedRate
 {
 public:
-    void add(TimePoint now, Duration memory, double events = 1.0)
+    void add(TimePoint now, Duration timeConstant, double events = 1.0)
     {
-        value_ = at(now, memory) + events / seconds(memory);
+        rate_ = at(now, timeConstant) + events / seconds(timeConstant);
         asOf_ = now;
     }
-    double at(TimePoint now, Duration memory) const
+    double at(TimePoint now, Duration timeConstant) const
     {
-        if (value_ == 0.0 || now <= asOf_) {
-            return value_;
+        if (rate_ == 0.0 || now <= asOf_) {
+            return rate_;
         }
-        return value_ * std::exp(-seconds(now - asOf_) / seconds(memory));
+        return rate_ * std::exp(-seconds(now - asOf_) / seconds(timeConstant));
     }
 
 private:
@@ -30,7 +30,7 @@
         return std::chrono::duration<double>(span).count();
     }
 
-    double value_ = 0.0; // as of asOf_
+    double rate_ = 0.0; // as of asOf_
     TimePoint asOf_;
 };
 
--- a/src/residency/estimator.h
+++ b/src/residency/estimator.h
@@ -1,4 +1,4 @@
-// Running means of how long executions and loads take, for deadline admission and Retry-After.
+// Running means of execution and load times, for deadline-based admission and Retry-After.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -7,30 +7,30 @@
 
 namespace anvilscale {
 
-/// Mean of late samples. Its weight fades while no sample comes, so that an estimate which made the sidecar refuse
-/// everything is forgotten and does not confirm itself.
-class FadingMean
+/// Exponentially weighted mean that decays towards zero without samples. Prevents a high estimate from refusing all
+/// calls indefinitely, since refused calls yield no new samples.
+class DecayingMean
 {
 public:
     void add(Duration sample, TimePoint now)
     {
         constexpr double weight = 0.2;
-        const Duration old = at(now);
-        mean_ = asOf_ == TimePoint{} ? sample : old + Duration(std::llround((sample - old).count() * weight));
+        const Duration previous = at(now);
+        mean_ = asOf_ == TimePoint{} ? sample : previous + Duration(std::llround((sample - previous).count() * weight));
         asOf_ = now;
     }
     Duration at(TimePoint now) const
     {
-        constexpr double memorySeconds = 60.0;
+        constexpr double timeConstantSeconds = 60.0;
         const double age = std::chrono::duration<double>(now - asOf_).count();
         return Duration(
-            std::llround(static_cast<double>(mean_.count()) * std::exp(-std::max(age, 0.0) / memorySeconds)));
+            std::llround(static_cast<double>(mean_.count()) * std::exp(-std::max(age, 0.0) / timeConstantSeconds)));
     }
 
-    /// The same, or 0 where the last sample is older than `life` and twice the mean.
-    Duration recentAt(TimePoint now, Duration life) const
+    /// Returns at(now), or 0 if the last sample is older than `maxAge` plus twice the mean.
+    Duration recentAt(TimePoint now, Duration maxAge) const
     {
-        return now - asOf_ > life + 2 * mean_ ? Duration(0) : at(now);
+        return now - asOf_ > maxAge + 2 * mean_ ? Duration(0) : at(now);
     }
 
 private:
--- a/src/residency/eviction.cpp
+++ b/src/residency/eviction.cpp
@@ -1,4 +1,4 @@
-// Choice of the adapter that gives way.
+// Victim selection for evictions.
 #include "eviction.h"
 
 #include <algorithm>
@@ -11,61 +11,62 @@
 constexpr double urgentWeight = 4.0;
 constexpr double maxDoublings = 5.0;
 
-bool needsUnreserved(const AdapterTable &table, const SlotClaim &claim)
+bool exceedsUnreservedSlots(const AdapterTable &table, const SlotClaim &claim)
 {
-    return !claim.urgent && table.occupiedByOthers() + claim.reservedSlots >= claim.slots;
+    return !claim.isUrgent && table.occupiedByNonUrgent() + claim.reservedSlots >= claim.slots;
 }
 
 } // namespace
 
-double keepValue(const AdapterRecord &record, Duration loadTime, const EvictionRules &rules, TimePoint now)
+double retentionValue(const AdapterRecord &record, Duration loadTime, const EvictionRules &rules, TimePoint now)
 {
-    if (record.superseded) {
+    if (record.isSuperseded) {
         return 0.0;
     }
     const double loadSeconds = std::chrono::duration<double>(std::max(loadTime, Duration(Milliseconds(100)))).count();
-    const double weight = record.urgent ? urgentWeight : 1.0;
-    return record.demand.at(now, rules.demandMemory) * loadSeconds * weight;
+    const double weight = record.isUrgent ? urgentWeight : 1.0;
+    return record.demand.at(now, rules.demandTimeConstant) * loadSeconds * weight;
 }
 
-Duration protection(const AdapterRecord &record, const EvictionRules &rules, TimePoint now)
+Duration protectionPeriod(const AdapterRecord &record, const EvictionRules &rules, TimePoint now)
 {
-    const double reloads =
-        record.reloads.at(now, rules.reloadMemory) * std::chrono::duration<double>(rules.reloadMemory).count();
+    const double reloads = record.reloads.at(now, rules.reloadTimeConstant)
+                           * std::chrono::duration<double>(rules.reloadTimeConstant).count();
     const double factor = std::exp2(std::min(reloads, maxDoublings));
-    const auto wanted = Duration(std::llround(static_cast<double>(rules.minResidency.count()) * factor));
-    return std::min(wanted, rules.maxResidency);
+    const auto period = Duration(std::llround(static_cast<double>(rules.minResidency.count()) * factor));
+    return std::min(period, rules.maxResidency);
 }
 
 bool mayTakeFreeSlot(const AdapterTable &table, const SlotClaim &claim)
 {
-    return table.occupied() < claim.slots && !needsUnreserved(table, claim);
+    return table.occupiedSlots() < claim.slots && !exceedsUnreservedSlots(table, claim);
 }
 
 AdapterRecord *chooseVictim(AdapterTable &table, const SlotClaim &claim, Duration loadTime, const EvictionRules &rules,
                             bool onlyUnpinned, TimePoint now)
 {
-    const bool fromOthers = needsUnreserved(table, claim);
+    const bool onlyNonUrgent = exceedsUnreservedSlots(table, claim);
     AdapterRecord *victim = nullptr;
-    double least = 0.0;
+    double minValue = 0.0;
     for (auto &[which, record] : table.records()) {
-        const bool wanted = record.waiting != 0 && !record.yielding;
-        if (record.state != ResidencyState::Resident || wanted || (onlyUnpinned && record.mayRun())) {
+        const bool hasWaitingCalls = record.waiting != 0 && !record.isYielding;
+        if (record.state != ResidencyState::Resident || hasWaitingCalls
+            || (onlyUnpinned && record.mayHaveRunningCalls())) {
             continue;
         }
-        if (fromOthers && record.urgent) {
+        if (onlyNonUrgent && record.isUrgent) {
             continue;
         }
-        if (!claim.starving && now < record.residentSince + protection(record, rules, now)) {
+        if (!claim.isStarving && now < record.residentSince + protectionPeriod(record, rules, now)) {
             continue;
         }
-        const double value = keepValue(record, loadTime, rules, now);
-        if (!claim.granted && !claim.starving && value * rules.hysteresis > claim.gain) {
+        const double value = retentionValue(record, loadTime, rules, now);
+        if (!claim.isGranted && !claim.isStarving && value * rules.hysteresis > claim.gain) {
             continue;
         }
-        if (victim == nullptr || value < least || (value == least && record.lastUsed < victim->lastUsed)) {
+        if (victim == nullptr || value < minValue || (value == minValue && record.lastUsed < victim->lastUsed)) {
             victim = &record;
-            least = value;
+            minValue = value;
         }
     }
     return victim;
--- a/src/residency/eviction.h
+++ b/src/residency/eviction.h
@@ -1,5 +1,5 @@
-// What a resident adapter is worth, and which one gives way. By decayed demand over reload cost, not by recency
-// alone: a popular adapter that was idle for a second is kept before one that was used once just now.
+// Eviction policy. Evicts the adapter with the lowest decayed demand times reload cost, not the least recently used
+// one.
 #pragma once
 
 #include "adapter_table.h"
@@ -8,33 +8,34 @@
 
 namespace anvilscale {
 
+/// Parameters of the eviction policy.
 struct EvictionRules
 {
-    Duration demandMemory = Seconds(180);
-    Duration reloadMemory = std::chrono::minutes(5);
-    Duration minResidency = Seconds(1); ///< doubles with each reload of late
+    Duration demandTimeConstant = Seconds(180);
+    Duration reloadTimeConstant = std::chrono::minutes(5);
+    Duration minResidency = Seconds(1); ///< protection after a load; doubles with each recent reload
     Duration maxResidency = Seconds(30);
-    double hysteresis = 1.5; ///< the newcomer must be worth this many times its victim
+    double hysteresis = 1.5; ///< minimum ratio of the new adapter's gain to the victim's value
 };
 
-/// What asks for a slot.
+/// Request of a load for a slot.
 struct SlotClaim
 {
     double gain = 0.0;
-    bool urgent = false;
-    bool starving = false; ///< it has waited longer than the starvation bound: protection against thrash gives way
-    bool granted = false; ///< the load scheduler has weighed it against the victim
+    bool isUrgent = false;
+    bool isStarving = false; ///< waits longer than the starvation bound: overrides thrash protection
+    bool isGranted = false; ///< the load scheduler has already compared the gain with the victim's value
     std::uint32_t reservedSlots = 0;
     std::uint32_t slots = 0;
 };
 
-/// Expected calls that stall because of this eviction, weighted by class.
-double keepValue(const AdapterRecord &record, Duration loadTime, const EvictionRules &rules, TimePoint now);
-/// Time for which an adapter is kept after its load.
-Duration protection(const AdapterRecord &record, const EvictionRules &rules, TimePoint now);
-/// True if a load may take a free slot without touching the slots reserved for urgent calls.
+/// Expected number of calls that would stall because of this eviction, weighted by class.
+double retentionValue(const AdapterRecord &record, Duration loadTime, const EvictionRules &rules, TimePoint now);
+/// Time for which an adapter is protected from eviction after its load. Prevents thrashing.
+Duration protectionPeriod(const AdapterRecord &record, const EvictionRules &rules, TimePoint now);
+/// Returns true if a free slot is available that is not reserved for urgent calls.
 bool mayTakeFreeSlot(const AdapterTable &table, const SlotClaim &claim);
-/// The adapter to unload for the claim; none if no adapter may go or none is worth less.
+/// Returns the adapter to unload for the claim, or null if none is evictable or all are worth more than the claim.
 AdapterRecord *chooseVictim(AdapterTable &table, const SlotClaim &claim, Duration loadTime, const EvictionRules &rules,
                             bool onlyUnpinned, TimePoint now);
 
--- a/src/residency/execution_table.h
+++ b/src/residency/execution_table.h
@@ -1,4 +1,4 @@
-// Calls that were given to the endpoint and have not ended.
+// Table of the calls that were sent to the endpoint and have not ended.
 #pragma once
 
 #include "listener.h"
@@ -12,6 +12,7 @@
 
 namespace anvilscale {
 
+/// Call that runs at the endpoint.
 struct Execution
 {
     ExecutionHandle handle;
@@ -21,13 +22,13 @@
     std::uint64_t fingerprint = 0;
     std::uint64_t caller = 0;
     std::vector<Listener> listeners;
-    TimePoint started;
+    TimePoint startedAt;
     TimePoint deadline;
-    bool pinned = false; ///< holds one pin of `which`
-    bool atMostOnce = false;
-    bool cancelling = false;
-    bool obsolete = false; ///< given to an engine incarnation that is gone
-    // Set exactly while nobody listens and the cancel is put off, so that a repeat can attach.
+    bool isPinned = false; ///< holds one pin of `which`
+    bool isAtMostOnce = false;
+    bool isCancelling = false;
+    bool isObsolete = false; ///< sent to an earlier engine incarnation
+    // Set exactly while there are no listeners and the cancel is deferred, so that a repeat can attach.
     std::optional<TimePoint> cancelAt;
 };
 
@@ -43,8 +44,8 @@
     }
     Execution *find(ExecutionHandle handle)
     {
-        const auto place = executions_.find(handle);
-        return place == executions_.end() ? nullptr : &place->second;
+        const auto it = executions_.find(handle);
+        return it == executions_.end() ? nullptr : &it->second;
     }
     void erase(ExecutionHandle handle)
     {
@@ -62,32 +63,32 @@
     {
         return executions_.empty();
     }
-    /// Calls that take room in the endpoint's batch.
-    std::uint32_t running() const
+    /// Number of calls in the endpoint's batch.
+    std::uint32_t runningCount() const
     {
         std::uint32_t count = 0;
         for (const auto &[handle, execution] : executions_) {
-            count += static_cast<std::uint32_t>(!execution.obsolete);
+            count += static_cast<std::uint32_t>(!execution.isObsolete);
         }
         return count;
     }
-    /// A running execution to which a repeat may listen.
-    Execution *attachable(const std::string &key, std::uint64_t fingerprint)
+    /// Returns a running execution to which a repeat can attach, or null.
+    Execution *findAttachable(const std::string &key, std::uint64_t fingerprint)
     {
         for (auto &[handle, execution] : executions_) {
-            const bool open = !execution.cancelling && !execution.obsolete && !execution.atMostOnce;
-            if (open && execution.key == key && execution.fingerprint == fingerprint) {
+            const bool isOpen = !execution.isCancelling && !execution.isObsolete && !execution.isAtMostOnce;
+            if (isOpen && execution.key == key && execution.fingerprint == fingerprint) {
                 return &execution;
             }
         }
         return nullptr;
     }
-    /// Earliest time at which an execution is to be cancelled; `delay` is what is added to a deadline.
-    std::optional<TimePoint> nextCancel(Duration delay) const
+    /// Earliest time at which an execution must be cancelled; `delay` is the grace period after its deadline.
+    std::optional<TimePoint> nextCancelAt(Duration delay) const
     {
         std::optional<TimePoint> earliest;
         for (const auto &[handle, execution] : executions_) {
-            if (execution.cancelling || execution.atMostOnce) {
+            if (execution.isCancelling || execution.isAtMostOnce) {
                 continue;
             }
             const TimePoint due = execution.cancelAt.value_or(execution.deadline + delay);
@@ -97,7 +98,7 @@
     }
 
 private:
-    Executions executions_; // at most the batch limit, and what an earlier engine incarnation has not yet given up
+    Executions executions_; // at most the batch limit, plus obsolete executions that have not ended
 };
 
 } // namespace anvilscale
--- a/src/residency/fair_share.h
+++ b/src/residency/fair_share.h
@@ -1,4 +1,4 @@
-// Fairness over callers: who already has more than an even share of the running calls.
+// Fairness between callers by their share of the running calls.
 #pragma once
 
 #include "execution_table.h"
@@ -10,7 +10,7 @@
 
 namespace anvilscale {
 
-/// A snapshot of the running calls by caller; made once for each choice from the queue.
+/// Snapshot of the running calls by caller; created for each selection from the queue.
 class FairShare
 {
 public:
@@ -18,25 +18,26 @@
         : batchLimit_(batchLimit)
     {
         for (const auto &[handle, execution] : executions.all()) {
-            const auto place = std::ranges::find(running_, execution.caller, &Count::first);
-            if (place != running_.end()) {
-                ++place->second;
+            const auto it = std::ranges::find(runningByCaller_, execution.caller, &Count::first);
+            if (it != runningByCaller_.end()) {
+                ++it->second;
             } else {
-                running_.emplace_back(execution.caller, 1);
+                runningByCaller_.emplace_back(execution.caller, 1);
             }
         }
     }
-    bool isOver(std::uint64_t caller) const
+    /// Returns true if the caller has more than an equal share of the batch.
+    bool exceedsShare(std::uint64_t caller) const
     {
-        const auto place = std::ranges::find(running_, caller, &Count::first);
-        return place != running_.end() && place->second * running_.size() > batchLimit_;
+        const auto it = std::ranges::find(runningByCaller_, caller, &Count::first);
+        return it != runningByCaller_.end() && it->second * runningByCaller_.size() > batchLimit_;
     }
 
 private:
     using Count = std::pair<std::uint64_t, std::uint32_t>;
 
     std::uint32_t batchLimit_;
-    std::vector<Count> running_; // at most one for each place in the batch
+    std::vector<Count> runningByCaller_; // at most batchLimit_ callers
 };
 
 } // namespace anvilscale
--- a/src/residency/key_guard.cpp
+++ b/src/residency/key_guard.cpp
@@ -1,4 +1,4 @@
-// Seen keys and slots of one service, joined.
+// Implementation of KeyGuard.
 #include "key_guard.h"
 
 #include <utility>
@@ -7,7 +7,7 @@
 
 namespace {
 
-SlotOwner::Init withKeys(SlotOwner::Init init, SeenKeys &seen)
+SlotOwner::Init withSeenKeys(SlotOwner::Init init, SeenKeys &seen)
 {
     init.seen = &seen;
     return init;
@@ -17,7 +17,7 @@
 
 KeyGuard::KeyGuard(Init init, std::function<void(KvRequest)> submit)
     : seen_(init.limits)
-    , owner_(withKeys(std::move(init.owner), seen_), std::move(submit))
+    , owner_(withSeenKeys(std::move(init.owner), seen_), std::move(submit))
 {
 }
 
--- a/src/residency/key_guard.h
+++ b/src/residency/key_guard.h
@@ -1,5 +1,4 @@
-// At most once for the calls of one non-idempotent service: its seen keys and its share of the slots. The rules are
-// those of the state library; here they are joined to the calls of this sidecar.
+// At-most-once execution for the calls of one non-idempotent service.
 #pragma once
 
 #include "anvilscale/state.h"
@@ -10,12 +9,13 @@
 
 namespace anvilscale {
 
+/// Combines the seen keys and the slot ownership of one service.
 class KeyGuard
 {
 public:
     struct Init
     {
-        SlotOwner::Init owner; ///< without `seen`
+        SlotOwner::Init owner; ///< `seen` is set by KeyGuard
         SeenKeys::Limits limits;
     };
     KeyGuard(Init init, std::function<void(KvRequest)> submit);
@@ -24,12 +24,13 @@
     {
         return owner_;
     }
-    /// Ownership of the key's slot, now.
+    /// Returns the current ownership of the key's slot.
     SlotOwnership ownership(std::string_view key, const ServiceView &service, Now now) const;
-    /// Decides on a call whose slot is owned; with Run the key is registered until release() or finish().
+    /// Decides on a call whose slot is owned. If the decision is Run, the key is registered until release() or
+    /// finish().
     KeyDecision admit(const std::string &key, std::uint64_t fingerprint, const ServiceView &service,
                       const SlotOwnership &ownership, ExecutionHandle execution, Now now);
-    /// Whether the key was certainly never run: what a refusal for another reason may claim.
+    /// Returns true if the key certainly never ran. Required before a refusal for another reason may claim "not run".
     bool provesNotRun(const std::string &key, std::uint64_t fingerprint, const ServiceView &service, Now now);
     void release(const std::string &key);
     void finish(const std::string &key, KeptAnswer &&answer, Now now);
@@ -37,7 +38,7 @@
 
 private:
     SeenKeys seen_;
-    SlotOwner owner_; // hands seen_ over
+    SlotOwner owner_; // uses seen_
 };
 
 } // namespace anvilscale
--- a/src/residency/listener.h
+++ b/src/residency/listener.h
@@ -1,4 +1,4 @@
-// An attempt of an entry that waits for, or listens to, an execution.
+// Identity of an attempt, and the listener that receives the answer of an execution.
 #pragma once
 
 #include "wire.pb.h"
@@ -9,6 +9,7 @@
 
 namespace anvilscale {
 
+/// Unique identity of an attempt.
 struct AttemptKey
 {
     std::uint64_t entryIncarnation = 0;
@@ -16,11 +17,11 @@
     std::uint32_t attempt = 0;
     auto operator<=>(const AttemptKey &) const = default;
 
-    static AttemptKey of(const wire::AttemptId &id)
+    static AttemptKey fromWire(const wire::AttemptId &id)
     {
         return {id.entry_incarnation(), id.call(), id.attempt()};
     }
-    wire::AttemptId message() const
+    wire::AttemptId toWire() const
     {
         wire::AttemptId id;
         id.set_entry_incarnation(entryIncarnation);
@@ -30,6 +31,7 @@
     }
 };
 
+/// Attempt of an entry that waits for, or is attached to, an execution.
 struct Listener
 {
     PeerHandle peer;
--- a/src/residency/next_due.h
+++ b/src/residency/next_due.h
@@ -1,4 +1,4 @@
-// Collects times at which something is due and keeps the earliest that lies ahead.
+// Earliest of several deadlines.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -8,19 +8,20 @@
 
 namespace anvilscale {
 
-class NextDue
+/// Collects deadlines and keeps the earliest one that lies in the future.
+class EarliestDeadline
 {
 public:
-    explicit NextDue(TimePoint now)
+    explicit EarliestDeadline(TimePoint now)
         : now_(now)
     {
     }
     void at(TimePoint due)
     {
-        // What is overdue was left for a reason (a bound on rates, a slot that is not free); it is looked at again
-        // soon, and must not hide what is due before that.
-        constexpr Duration recheck = Milliseconds(100);
-        earliest_ = std::min(earliest_, due <= now_ ? now_ + recheck : due);
+        // Overdue work is blocked, for example by a rate limit or a missing slot. It is re-evaluated after a short
+        // delay and must not hide an earlier deadline.
+        constexpr Duration recheckDelay = Milliseconds(100);
+        earliest_ = std::min(earliest_, due <= now_ ? now_ + recheckDelay : due);
     }
     void at(std::optional<TimePoint> due)
     {
--- a/src/residency/order_book.h
+++ b/src/residency/order_book.h
@@ -1,5 +1,4 @@
-// Orders given to the engine whose reply has not come. Order numbers only grow, so that they also tell whether a
-// list was asked for after some change.
+// Orders sent to the engine that have no reply yet.
 #pragma once
 
 #include "anvilscale/residency.h"
@@ -10,72 +9,76 @@
 
 namespace anvilscale {
 
+/// Order that waits for its reply.
 struct OpenOrder
 {
     OrderHandle handle;
     OrderKind kind = OrderKind::List;
     AdapterVersion which;
     TimePoint sentAt;
-    TimePoint replyUntil; ///< a reply that has not come by then is lost
+    TimePoint replyDeadline; ///< the reply counts as lost from then on
 };
 
-class OrderBook
+/// Numbers the orders and tracks the open ones. Numbers only grow, so they also show whether a list was requested after
+/// a given change.
+class OrderTracker
 {
 public:
-    OrderHandle open(OrderKind kind, const AdapterVersion &which, TimePoint now, Duration patience)
+    OrderHandle open(OrderKind kind, const AdapterVersion &which, TimePoint now, Duration replyTimeout)
     {
-        const OrderHandle handle{++last_};
-        open_.push_back(OpenOrder{handle, kind, which, now, now + patience});
+        const OrderHandle handle{++lastNumber_};
+        openOrders_.push_back(OpenOrder{handle, kind, which, now, now + replyTimeout});
         return handle;
     }
-    /// Takes the order out; none if it is not open (a reply that came twice, or after it was given up).
+    /// Removes and returns the order. Returns none if it is not open, as for a duplicate or late reply.
     std::optional<OpenOrder> close(OrderHandle handle)
     {
-        const auto place = std::ranges::find(open_, handle, &OpenOrder::handle);
-        if (place == open_.end()) {
+        const auto it = std::ranges::find(openOrders_, handle, &OpenOrder::handle);
+        if (it == openOrders_.end()) {
             return std::nullopt;
         }
-        OpenOrder order = std::move(*place);
-        open_.erase(place);
+        OpenOrder order = std::move(*it);
+        openOrders_.erase(it);
         return order;
     }
-    /// As close(), but a list that was answered stays open until its content comes by itself.
-    std::optional<OpenOrder> closeUnlessAnswered(OrderHandle handle, OrderOutcome outcome)
+    /// Like close(), but an answered list stays open until onEngineList delivers its content.
+    std::optional<OpenOrder> closeUnlessListPending(OrderHandle handle, OrderOutcome outcome)
     {
-        const auto place = std::ranges::find(open_, handle, &OpenOrder::handle);
-        const bool answered = outcome == OrderOutcome::Done;
-        if (place != open_.end() && place->kind == OrderKind::List && answered) {
+        const auto it = std::ranges::find(openOrders_, handle, &OpenOrder::handle);
+        const bool isAnswered = outcome == OrderOutcome::Done;
+        if (it != openOrders_.end() && it->kind == OrderKind::List && isAnswered) {
             return std::nullopt;
         }
         return close(handle);
     }
-    /// An order whose reply is overdue, if any.
-    const OpenOrder *overdue(TimePoint now) const
+    /// Returns an order whose reply is overdue, or null.
+    const OpenOrder *findOverdue(TimePoint now) const
     {
-        const auto place = std::ranges::find_if(open_, [now](const auto &order) { return order.replyUntil <= now; });
-        return place == open_.end() ? nullptr : &*place;
+        const auto it =
+            std::ranges::find_if(openOrders_, [now](const auto &order) { return order.replyDeadline <= now; });
+        return it == openOrders_.end() ? nullptr : &*it;
     }
-    std::optional<TimePoint> next() const
+    std::optional<TimePoint> nextReplyDeadline() const
     {
-        const auto place = std::ranges::min_element(open_, {}, &OpenOrder::replyUntil);
-        return place == open_.end() ? std::nullopt : std::optional(place->replyUntil);
+        const auto it = std::ranges::min_element(openOrders_, {}, &OpenOrder::replyDeadline);
+        return it == openOrders_.end() ? std::nullopt : std::optional(it->replyDeadline);
     }
     bool has(OrderKind kind) const
     {
-        return std::ranges::find(open_, kind, &OpenOrder::kind) != open_.end();
+        return std::ranges::find(openOrders_, kind, &OpenOrder::kind) != openOrders_.end();
     }
-    std::vector<OpenOrder> &all()
+    std::vector<OpenOrder> &openOrders()
     {
-        return open_;
+        return openOrders_;
     }
     std::uint64_t lastNumber() const
     {
-        return last_;
+        return lastNumber_;
     }
 
 private:
-    std::vector<OpenOrder> open_; // at most one for each adapter, one list and one fence
-    std::uint64_t last_ = 0;
+    std::vector<OpenOrder> openOrders_; // at most one per adapter, one list and one fence
+    std::uint64_t lastNumber_ = 0;
 };
 
 } // namespace anvilscale
--- a/src/residency/recovery.h
+++ b/src/residency/recovery.h
@@ -1,11 +1,4 @@
-// How a new sidecar takes over a running engine. The predecessor's calls may still run and its orders may still land;
-// nothing is admitted, loaded or evicted before both are known to be bounded.
-//
-//   Listing -> Fencing -> Confirming -> Done      endpoint checks fencing numbers
-//   Listing -> Waiting -> Confirming -> Done      endpoint ignores them: the longest order is waited out
-//
-// A restart of the engine ends all earlier orders with it (they were sent to a process that is gone), so that only a
-// new list is needed.
+// Recovery state machine of a new sidecar that adopts a running engine.
 #pragma once
 
 #include "anvilscale/residency.h"
@@ -31,6 +24,13 @@
         "not_started", "listing", "fencing", "waiting", "confirming", "done"};
 };
 
+/// Ensures that no call is admitted and no adapter is loaded or evicted while orders of a predecessor may still take
+/// effect.
+///
+///   Listing -> Fencing -> Confirming -> Done      the endpoint checks fencing numbers
+///   Listing -> Waiting -> Confirming -> Done      it does not: waits for the maximum duration of an order
+///
+/// Orders sent before an engine restart have no effect on the new engine process, so a restart only needs a new list.
 class Recovery
 {
 public:
@@ -38,7 +38,7 @@
     {
         bool endpointChecksFence = true;
         bool waitOutOrders = true; ///< Safeguards::recoveryWait
-        bool fence = true; ///< Safeguards::fenceCheck
+        bool fencePredecessor = true; ///< Safeguards::fenceCheck
         Duration orderTimeout{};
         std::uint64_t incarnation = 0;
     };
@@ -53,12 +53,12 @@
         startedAt_ = now;
         phase_ = RecoveryPhase::Listing;
     }
-    /// A plain service keeps nothing between calls.
+    /// Ends recovery at once. For a plain service, which keeps no state between calls.
     void skip()
     {
         phase_ = RecoveryPhase::Done;
     }
-    bool done() const
+    bool isDone() const
     {
         return phase_ == RecoveryPhase::Done;
     }
@@ -70,13 +70,13 @@
     {
         return startedAt_;
     }
-    /// Number carried by every order of this sidecar.
+    /// Fencing number for all orders of this sidecar.
     std::uint64_t fence() const
     {
         return fence_;
     }
-    /// The order that recovery needs next.
-    std::optional<OrderKind> wanted() const
+    /// Returns the order that recovery must send next, or none.
+    std::optional<OrderKind> requiredOrder() const
     {
         switch (phase_) {
         case RecoveryPhase::Listing:
@@ -88,8 +88,8 @@
             return std::nullopt;
         }
     }
-    /// End of the wait for the predecessor's orders.
-    std::optional<TimePoint> waitsUntil() const
+    /// Returns the end of the wait for the predecessor's orders, or none outside Waiting.
+    std::optional<TimePoint> waitDeadline() const
     {
         return phase_ == RecoveryPhase::Waiting ? std::optional(startedAt_ + rules_.orderTimeout) : std::nullopt;
     }
@@ -99,19 +99,19 @@
             phase_ = RecoveryPhase::Confirming;
         }
     }
-    /// True if the list is the one that ends recovery.
-    bool onList(const EngineList &list, bool askedInThisPhase)
+    /// Returns true if this list ends recovery.
+    bool onList(const EngineList &list, bool isRequestedInPhase)
     {
-        // Incarnations grow, but a clock that was set back may have given a predecessor a larger number. The engine
-        // tells the largest that it has seen; the port that this process holds proves that no newer sidecar lives.
-        // An equal number is our own, from an earlier order. A number is not raised without need: a raised one could
-        // be as large as a successor's incarnation, and an engine that restarts forgets what it has seen.
+        // A predecessor may have used a larger number if the clock was set back. The engine reports the largest number
+        // received; this process holds the listening port, so no newer sidecar is running. An equal number comes from
+        // an earlier order of this process and is not raised, because a raised number could collide with a successor's
+        // incarnation after an engine restart.
         if (phase_ == RecoveryPhase::Listing) {
             fence_ = list.highestFence <= rules_.incarnation ? rules_.incarnation : list.highestFence + 1;
-            phase_ = afterListing();
+            phase_ = phaseAfterListing();
             return false;
         }
-        if (phase_ != RecoveryPhase::Confirming || !askedInThisPhase) {
+        if (phase_ != RecoveryPhase::Confirming || !isRequestedInPhase) {
             return false;
         }
         phase_ = RecoveryPhase::Done;
@@ -137,10 +137,10 @@
     }
 
 private:
-    RecoveryPhase afterListing() const
+    RecoveryPhase phaseAfterListing() const
     {
         if (rules_.endpointChecksFence) {
-            return rules_.fence ? RecoveryPhase::Fencing : RecoveryPhase::Confirming;
+            return rules_.fencePredecessor ? RecoveryPhase::Fencing : RecoveryPhase::Confirming;
         }
         return rules_.waitOutOrders ? RecoveryPhase::Waiting : RecoveryPhase::Confirming;
     }
--- a/src/residency/sidecar.cpp
+++ b/src/residency/sidecar.cpp
@@ -1,4 +1,4 @@
-// Life cycle of the sidecar's decisions, and the one timer.
+// Life cycle and timer of the sidecar's state machine.
 #include "sidecar.h"
 
 #include <algorithm>
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr Duration forgetAfter = std::chrono::minutes(15);
-constexpr Duration pauseNoticed = Milliseconds(500); // a timer that is later than this was held up by a pause
-constexpr std::size_t recordsKept = 64; // absent adapters are forgotten only above this
+constexpr Duration idleRecordLifetime = std::chrono::minutes(15);
+constexpr Duration minPause = Milliseconds(500); // a larger timer delay counts as a pause of the process
+constexpr std::size_t maxRecords = 64; // idle absent adapters are removed above this count
 
 const Policy defaultPolicy;
 
@@ -18,7 +18,7 @@
     Recovery::Rules rules;
     rules.endpointChecksFence = init.endpointChecksFence;
     rules.waitOutOrders = init.safeguards.recoveryWait;
-    rules.fence = init.safeguards.fenceCheck;
+    rules.fencePredecessor = init.safeguards.fenceCheck;
     rules.orderTimeout = init.orderTimeout;
     rules.incarnation = init.incarnation;
     return rules;
@@ -50,66 +50,63 @@
 void SidecarDecisions::Impl::start(Now now)
 {
     recovery_.start(now.mono);
-    takeOverAt_ = now.mono;
-    retryOrderAt_ = now.mono;
-    nextHeartbeat_ = now.mono;
+    engineAdoptedAt_ = now.mono;
+    nextOrderAt_ = now.mono;
+    nextHeartbeatAt_ = now.mono;
     if (!isEngine()) {
         recovery_.skip();
     }
-    openGuards(now);
-    settleAll(now);
+    createGuards(now);
+    reconcile(now);
 }
 
 void SidecarDecisions::Impl::drain(Now now)
 {
-    if (leaving_) {
+    if (isLeaving_) {
         return;
     }
-    leaving_ = true;
-    heartbeatAtOnce_ = true;
-    // Calls that have not reached the endpoint are handed back as not run: their entries send them elsewhere sooner
-    // than a queue that nobody refills would serve them.
+    isLeaving_ = true;
+    isHeartbeatUrgent_ = true;
+    // Refused calls have not reached the endpoint, so their entries can retry them on another sidecar.
     refuseWaiting({RefusalReason::Leaving}, [](const WaitingCall &) { return true; });
-    for (const auto &held : held_) {
-        refuse({held.from, AttemptKey::of(held.request.id())}, {RefusalReason::Leaving});
+    for (const auto &held : heldCalls_) {
+        refuse({held.from, AttemptKey::fromWire(held.request.id())}, {RefusalReason::Leaving});
     }
-    held_.clear();
+    heldCalls_.clear();
     drainGuards(now);
-    settleAll(now);
+    reconcile(now);
 }
 
-/// An order that was decided before a pause of this process may go out only after it. Its time to take effect is
-/// counted anew from the waking: counted from the decision it would be over, a list would show no effect, and the
-/// order would then land on a slot that was given to another adapter.
-void SidecarDecisions::Impl::noticePause(TimePoint now)
+/// Restarts the timeouts of open orders after a pause of this process: an order decided before the pause may be sent
+/// only after it. Prevents an order from taking effect on a slot that was reassigned because the order seemed lost.
+void SidecarDecisions::Impl::detectPause(TimePoint now)
 {
-    if (!timer_ || now < timerAt_ + pauseNoticed) {
+    if (!timer_ || now < timerAt_ + minPause) {
         return;
     }
-    for (auto &order : orders_.all()) {
-        order.replyUntil += now - order.sentAt;
+    for (auto &order : orders_.openOrders()) {
+        order.replyDeadline += now - order.sentAt;
         order.sentAt = now;
     }
-    // While this process stood still its endpoint may have been marked as leaving, and its entries took it for
-    // suspect. Calls that waited here would reach the endpoint long after it should get no new work: they go back as
-    // not run, and their entries, who know more by now, send them on.
+    // During the pause the endpoint may have been marked as leaving. Prevents waiting calls from reaching an endpoint
+    // that must not get new work: they are refused as not run, and their entries route them again.
     if (now - timerAt_ >= init_.timing.suspect) {
-        catchUpUntil_ = now + init_.timing.suspect;
+        catchUpDeadline_ = now + init_.timing.suspect;
         refuseWaiting({RefusalReason::Recovering}, [](const WaitingCall &) { return true; });
     }
 }
 
-void SidecarDecisions::Impl::settleAll(Now now)
+void SidecarDecisions::Impl::reconcile(Now now)
 {
-    noticePause(now.mono);
-    last_ = now;
+    detectPause(now.mono);
+    lastEventTime_ = now;
     recovery_.advance(now.mono);
     expireCalls(now);
     if (isEngine()) {
         pollEngine(now);
-    } else if (!endpointUp_ && downUntil_ <= now.mono) {
-        endpointUp_ = true; // nobody lists a plain service; the next call tells
-        heartbeatAtOnce_ = true;
+    } else if (!isEndpointUp_ && endpointRetryAt_ <= now.mono) {
+        isEndpointUp_ = true; // a plain service has no list order; the next call probes it
+        isHeartbeatUrgent_ = true;
     }
     startCalls(now);
     if (isEngine()) {
@@ -117,8 +114,8 @@
     }
     expireKeys(now);
     sendHeartbeats(now);
-    if (adapters_.records().size() > recordsKept) {
-        adapters_.forget(now.mono - forgetAfter);
+    if (adapters_.records().size() > maxRecords) {
+        adapters_.removeIdle(now.mono - idleRecordLifetime);
     }
     finishDrain(now);
     arm(now.mono);
@@ -126,11 +123,11 @@
 
 void SidecarDecisions::Impl::finishDrain(Now now)
 {
-    const bool orderOpen = orders_.has(OrderKind::Load) || orders_.has(OrderKind::Unload);
-    if (!leaving_ || drained_ || !executions_.empty() || orderOpen || !guardsDrained(now)) {
+    const bool hasOpenOrder = orders_.has(OrderKind::Load) || orders_.has(OrderKind::Unload);
+    if (!isLeaving_ || isDrained_ || !executions_.empty() || hasOpenOrder || !guardsDrained(now)) {
         return;
     }
-    drained_ = true;
+    isDrained_ = true;
     for (auto &[service, guard] : guards_) {
         guard->owner().stop(now);
     }
@@ -139,59 +136,59 @@
 
 void SidecarDecisions::Impl::onTimer(TimePoint at)
 {
-    noticePause(at);
+    detectPause(at);
     timer_ = {};
     timerAt_ = TimePoint::max();
-    // A timer brings only the monotonic time. The wall clock is that of the latest event, moved on by as much.
-    const auto elapsed = std::chrono::duration_cast<Milliseconds>(at - last_.mono).count();
-    settleAll(Now{at, WallTime{last_.wall.ms + elapsed}});
-}
-
-std::optional<TimePoint> SidecarDecisions::Impl::nextDue(TimePoint now) const
-{
-    NextDue due(now);
-    due.at(queue_.next());
-    due.at(executions_.nextCancel(policy().cancelDelay));
-    due.at(orders_.next());
-    due.at(recovery_.waitsUntil());
-    due.at(listDue());
-    due.at(heartbeatDue());
-    if (!isEngine() && !endpointUp_) {
-        due.at(downUntil_);
+    // A timer reports only the monotonic time; the wall clock is extrapolated from the latest event.
+    const auto elapsed = std::chrono::duration_cast<Milliseconds>(at - lastEventTime_.mono).count();
+    reconcile(Now{at, WallTime{lastEventTime_.wall.ms + elapsed}});
+}
+
+std::optional<TimePoint> SidecarDecisions::Impl::nextWakeup(TimePoint now) const
+{
+    EarliestDeadline due(now);
+    due.at(queue_.nextCheckAt());
+    due.at(executions_.nextCancelAt(policy().cancelDelay));
+    due.at(orders_.nextReplyDeadline());
+    due.at(recovery_.waitDeadline());
+    due.at(nextListAt());
+    due.at(nextHeartbeatDue());
+    if (!isEngine() && !isEndpointUp_) {
+        due.at(endpointRetryAt_);
     }
-    if (leaving_ && !drained_ && !guards_.empty()) {
-        due.at(guardsUntil_);
+    if (isLeaving_ && !isDrained_ && !guards_.empty()) {
+        due.at(guardsDeadline_);
     }
-    for (const auto &held : held_) {
-        due.at(std::min(held.until, nextFetch_));
+    for (const auto &held : heldCalls_) {
+        due.at(std::min(held.deadline, nextFetchAt_));
     }
-    loadsDue(due, now);
+    addLoadDeadlines(due, now);
     return due.earliest();
 }
 
-void SidecarDecisions::Impl::loadsDue(NextDue &due, TimePoint now) const
+void SidecarDecisions::Impl::addLoadDeadlines(EarliestDeadline &due, TimePoint now) const
 {
-    for (const auto &ticket : tickets_) {
-        if (!ticket.load) {
-            due.at(ticket.validUntil);
+    for (const auto &plannedLoad : plannedLoads_) {
+        if (!plannedLoad.order) {
+            due.at(plannedLoad.validUntil);
         }
     }
     if (demandSince_) {
-        due.at(nextHopelessCheck_);
+        due.at(nextDeadlineCheckAt_);
     }
-    const PeerHandle granter = scheduler();
+    const PeerHandle schedulerPeer = scheduler();
     for (const auto &[which, record] : adapters_.records()) {
-        const bool loadWaits = record.waiting != 0 && !record.occupiesSlot();
-        if (loadWaits && (!granter || schedulerSilent_)) {
-            due.at(std::max(record.notBefore, nextLocalLoad_));
+        const bool isLoadWaiting = record.waiting != 0 && !record.occupiesSlot();
+        if (isLoadWaiting && (!schedulerPeer || isSchedulerSuspect_)) {
+            due.at(std::max(record.earliestLoadAt, nextLocalLoadAt_));
         }
     }
-    if (demandSince_ && !schedulerSilent_ && granter) {
-        due.at(std::max(subscribers_.at(granter).schedulerHeard, *demandSince_) + init_.timing.suspect);
+    if (demandSince_ && !isSchedulerSuspect_ && schedulerPeer) {
+        due.at(std::max(subscribers_.at(schedulerPeer).schedulerReceivedAt, *demandSince_) + init_.timing.suspect);
     }
     if (!prefetch_.empty() && !prefetchDemands(now).empty()) {
         constexpr Duration prefetchRecheck = Milliseconds(500);
-        due.at(std::max(nextLocalLoad_, now + prefetchRecheck));
+        due.at(std::max(nextLocalLoadAt_, now + prefetchRecheck));
     }
 }
 
@@ -200,9 +197,9 @@
     if (init_.timers == nullptr) {
         return;
     }
-    const auto due = nextDue(now);
+    const auto due = nextWakeup(now);
     if (!due || (timer_ && timerAt_ <= *due && timerAt_ > now)) {
-        return; // an early timer only leads to one more look
+        return; // an early timer only causes an extra reconcile()
     }
     init_.timers->cancel(timer_);
     timerAt_ = *due;
@@ -224,73 +221,73 @@
 void SidecarDecisions::onMessage(PeerHandle from, const wire::Envelope &message, Now now)
 {
     impl_->onMessage(from, message, now);
-    impl_->settleAll(now);
+    impl_->reconcile(now);
 }
 
 void SidecarDecisions::onPeerLost(PeerHandle peer, Now now)
 {
     impl_->onPeerLost(peer, now);
-    impl_->settleAll(now);
+    impl_->reconcile(now);
 }
 
 void SidecarDecisions::onExecutionStarted(ExecutionHandle execution, Now now)
 {
     impl_->onExecutionStarted(execution, now);
-    impl_->settleAll(now);
+    impl_->reconcile(now);
 }
 
 void SidecarDecisions::onExecutionEnded(ExecutionHandle execution, KeptAnswer answer, std::uint32_t /*generatedTokens*/,
                                         Now now)
 {
     impl_->onExecutionEnded(execution, std::move(answer), now);
-    impl_->settleAll(now);
+    impl_->reconcile(now);
 }
 
 void SidecarDecisions::onOrderDone(OrderHandle order, OrderOutcome outcome, Now now)
 {
     impl_->onOrderDone(order, outcome, now);
-    impl_->settleAll(now);
+    impl_->reconcile(now);
 }
 
 void SidecarDecisions::onEngineList(OrderHandle order, const EngineList &list, Now now)
 {
     impl_->onEngineList(order, list, now);
-    impl_->settleAll(now);
+    impl_->reconcile(now);
 }
 
 void SidecarDecisions::onEngineReport(const EngineReport &report, Now now)
 {
     impl_->onEngineReport(report, now);
-    impl_->settleAll(now);
+    impl_->reconcile(now);
 }
 
 void SidecarDecisions::onEngineLost(Now now)
 {
     impl_->onEngineLost(now);
-    impl_->settleAll(now);
+    impl_->reconcile(now);
 }
 
 void SidecarDecisions::onConfigChanged(Now now)
 {
     impl_->onConfigChanged(now);
-    impl_->settleAll(now);
+    impl_->reconcile(now);
 }
 
 void SidecarDecisions::onKvReply(const KvReply &reply, Now now)
 {
-    impl_->last_ = now;
+    impl_->lastEventTime_ = now;
     for (auto &[service, guard] : impl_->guards_) {
         if (guard->owner().onReply(reply, now)) {
             break;
         }
     }
-    impl_->settleAll(now);
+    impl_->reconcile(now);
 }
 
 void SidecarDecisions::onMembers(const std::vector<Member> &members, Now now)
 {
     impl_->onMembers(members, now);
-    impl_->settleAll(now);
+    impl_->reconcile(now);
 }
 
 void SidecarDecisions::drain(Now now)
@@ -300,9 +297,9 @@
 
 void SidecarDecisions::onConfigStale(bool stale, Now now)
 {
-    impl_->configStale_ = stale;
-    impl_->heartbeatAtOnce_ = true;
-    impl_->settleAll(now);
+    impl_->isConfigStale_ = stale;
+    impl_->isHeartbeatUrgent_ = true;
+    impl_->reconcile(now);
 }
 
 std::vector<SidecarAction> SidecarDecisions::takeActions()
@@ -313,9 +310,9 @@
 const SidecarStats &SidecarDecisions::stats() const
 {
     auto &stats = impl_->stats_;
-    stats.running = impl_->executions_.running();
+    stats.running = impl_->executions_.runningCount();
     stats.queued = static_cast<std::uint32_t>(impl_->queue_.size());
-    stats.resident = impl_->adapters_.resident();
+    stats.resident = impl_->adapters_.residentCount();
     return stats;
 }
 
@@ -323,14 +320,14 @@
 {
     std::vector<wire::AdapterState> states;
     for (const auto &[which, record] : impl_->adapters_.records()) {
-        states.push_back(impl_->stateOf(record));
+        states.push_back(impl_->makeAdapterState(record));
     }
     return states;
 }
 
 bool SidecarDecisions::leaving() const
 {
-    return impl_->leaving_;
+    return impl_->isLeaving_;
 }
 
 } // namespace anvilscale
--- a/src/residency/sidecar_admission.cpp
+++ b/src/residency/sidecar_admission.cpp
@@ -1,5 +1,5 @@
-// A call comes in: is it well formed, is it ours, does it repeat a running one, can it meet its deadline. Every
-// refusal here is a proof that the call did not run: the endpoint has not seen it.
+// Admission of calls. A refused call has not reached the endpoint, so each refusal proves that this attempt did not
+// run.
 #include "sidecar.h"
 
 #include <algorithm>
@@ -8,22 +8,22 @@
 
 namespace {
 
-constexpr Duration shortestRetry = Milliseconds(200);
-constexpr Duration longestRetry = Seconds(30);
-constexpr Duration recoveryRetry = Seconds(1);
-constexpr Duration endpointRetry = Seconds(2);
-// So long a load time may refuse calls. One load that a pause had made long refused every call on an absent adapter for
-// good: no call came through whose load could have shown a better time.
-constexpr Duration loadMemory = Seconds(10);
+constexpr Duration minRetryDelay = Milliseconds(200);
+constexpr Duration maxRetryDelay = Seconds(30);
+constexpr Duration recoveryRetryDelay = Seconds(1);
+constexpr Duration endpointRetryDelay = Seconds(2);
+// Maximum age of a load time that may refuse calls. Prevents one slow load from refusing all calls on absent adapters
+// indefinitely, since no further load would update the estimate.
+constexpr Duration maxLoadTimeAge = Seconds(10);
 
-Duration until(TimePoint at, TimePoint now)
+Duration retryDelayUntil(TimePoint at, TimePoint now)
 {
-    return std::clamp(at - now, shortestRetry, longestRetry);
+    return std::clamp(at - now, minRetryDelay, maxRetryDelay);
 }
 
 } // namespace
 
-std::uint64_t fingerprintOf(const wire::CallRequest &request)
+std::uint64_t computeFingerprint(const wire::CallRequest &request)
 {
     std::uint64_t hash = hash64(request.method());
     hash = hash64(request.path(), hash);
@@ -34,36 +34,36 @@
 
 void SidecarDecisions::Impl::onCall(PeerHandle from, const wire::CallRequest &request, Now now)
 {
-    const auto attempt = AttemptKey::of(request.id());
-    if (init_.safeguards.duplicateFilter && (isOpen(attempt) || ended_.has(attempt))) {
+    const auto attempt = AttemptKey::fromWire(request.id());
+    if (init_.safeguards.duplicateFilter && (isOpen(attempt) || endedAttempts_.contains(attempt))) {
         ++stats_.droppedMessages;
         return;
     }
     admit(from, request, now.mono, now);
 }
 
-void SidecarDecisions::Impl::admit(PeerHandle from, const wire::CallRequest &request, TimePoint arrived, Now now)
+void SidecarDecisions::Impl::admit(PeerHandle from, const wire::CallRequest &request, TimePoint arrivedAt, Now now)
 {
-    const Listener listener{from, AttemptKey::of(request.id()), request.credit_bytes()};
-    if (auto refusal = checkForm(request)) {
+    const Listener listener{from, AttemptKey::fromWire(request.id()), request.credit_bytes()};
+    if (auto refusal = validateRequest(request)) {
         refusal->provedNotRun = provesNotRun(request, now);
         return refuse(listener, *refusal);
     }
-    if (const auto view = serviceOf(request); view && !view->idempotent && !isBehind(request)) {
-        return admitAtMostOnce(makeCall(from, request, arrived), *view, now);
+    if (const auto view = findService(request); view && !view->idempotent && !isBehind(request)) {
+        return admitAtMostOnce(makeCall(from, request, arrivedAt), *view, now);
     }
     const auto stateRefusal = checkState(now.mono);
-    if (stateRefusal && !leaving_) {
+    if (stateRefusal && !isLeaving_) {
         return refuse(listener, *stateRefusal);
     }
-    if (isBehind(request) && !leaving_) {
-        return hold(from, request, arrived, now);
+    if (isBehind(request) && !isLeaving_) {
+        return holdCall(from, request, arrivedAt, now);
     }
     if (const auto refusal = checkVersion(request)) {
         return refuse(listener, *refusal);
     }
-    WaitingCall call = makeCall(from, request, arrived);
-    // A repeat of a running call makes no new work, so it is taken also while leaving.
+    WaitingCall call = makeCall(from, request, arrivedAt);
+    // A repeat of a running call causes no new work, so it is also accepted while leaving.
     if (attachToRunning(call)) {
         return;
     }
@@ -76,7 +76,7 @@
     if (const auto refusal = checkAdapter(call, now.mono)) {
         return refuse(listener, *refusal);
     }
-    if (const auto refusal = checkRoom(call, now.mono)) {
+    if (const auto refusal = checkCapacity(call, now.mono)) {
         return refuse(listener, *refusal);
     }
     enqueue(std::move(call), now);
@@ -86,24 +86,24 @@
 {
     if (!call.which.empty()) {
         auto &record = adapters_.add(call.which);
-        record.demand.add(now.mono, evictionRules_.demandMemory);
-        record.urgent = call.callClass == CallClass::Urgent;
+        record.demand.add(now.mono, evictionRules_.demandTimeConstant);
+        record.isUrgent = call.callClass == CallClass::Urgent;
         record.lastUsed = now.mono;
-        record.superseded = false;
+        record.isSuperseded = false;
         if (record.route != call.request.route()) {
             record.route = call.request.route();
             planPrefetch();
         }
         ++record.waiting;
         call.record = &record;
-        call.waitedForAdapter = record.state != ResidencyState::Resident;
-        markChanged(call.which, call.waitedForAdapter && record.waiting == 1);
+        call.hasWaitedForAdapter = record.state != ResidencyState::Resident;
+        markChanged(call.which, call.hasWaitedForAdapter && record.waiting == 1);
     }
     call.execution = ExecutionHandle{++lastExecution_};
     queue_.push(std::move(call));
 }
 
-std::optional<RefusalDetail> SidecarDecisions::Impl::checkForm(const wire::CallRequest &request) const
+std::optional<RefusalDetail> SidecarDecisions::Impl::validateRequest(const wire::CallRequest &request) const
 {
     if (!request.has_id() || request.method().empty()) {
         return RefusalDetail{RefusalReason::BadRequest};
@@ -114,27 +114,28 @@
     if (isEngine()) {
         return request.service().empty() ? std::nullopt : std::optional(RefusalDetail{RefusalReason::UnknownService});
     }
-    const bool known = std::ranges::find(init_.services, request.service()) != init_.services.end();
-    return known ? std::nullopt : std::optional(RefusalDetail{RefusalReason::UnknownService});
+    const bool isKnown = std::ranges::find(init_.services, request.service()) != init_.services.end();
+    return isKnown ? std::nullopt : std::optional(RefusalDetail{RefusalReason::UnknownService});
 }
 
 std::optional<RefusalDetail> SidecarDecisions::Impl::checkState(TimePoint now)
 {
-    if (leaving_) {
+    if (isLeaving_) {
         return RefusalDetail{RefusalReason::Leaving};
     }
-    if (!endpointUp_) {
-        return RefusalDetail{RefusalReason::EndpointDown, true, random_.jitter(endpointRetry)};
+    if (!isEndpointUp_) {
+        return RefusalDetail{RefusalReason::EndpointDown, true, random_.jitter(endpointRetryDelay)};
     }
-    if (!recovery_.done()) {
-        const auto waits = recovery_.waitsUntil();
-        const Duration retryAfter = waits ? until(*waits, now) : random_.jitter(recoveryRetry);
+    if (!recovery_.isDone()) {
+        const auto waitDeadline = recovery_.waitDeadline();
+        const Duration retryAfter =
+            waitDeadline ? retryDelayUntil(*waitDeadline, now) : random_.jitter(recoveryRetryDelay);
         return RefusalDetail{RefusalReason::Recovering, true, retryAfter};
     }
-    // Calls that lay unread during a pause are read before the news that the endpoint is leaving. Without this they
-    // reached it seconds after it should get no new work. Within this time the list of VMs is read again.
-    if (now < catchUpUntil_) {
-        return RefusalDetail{RefusalReason::Recovering, true, until(catchUpUntil_, now)};
+    // After a pause, calls may be read before the notification that the endpoint is leaving. Prevents them from
+    // reaching a leaving endpoint: they are refused until the VM list has been read again.
+    if (now < catchUpDeadline_) {
+        return RefusalDetail{RefusalReason::Recovering, true, retryDelayUntil(catchUpDeadline_, now)};
     }
     return std::nullopt;
 }
@@ -142,55 +143,56 @@
 std::optional<RefusalDetail> SidecarDecisions::Impl::checkAdapter(const WaitingCall &call, TimePoint now)
 {
     const auto *record = adapters_.find(call.which);
-    if (record != nullptr && record->quarantined && now < record->notBefore) {
-        return RefusalDetail{RefusalReason::AdapterQuarantined, true, until(record->notBefore, now)};
+    if (record != nullptr && record->isQuarantined && now < record->earliestLoadAt) {
+        return RefusalDetail{RefusalReason::AdapterQuarantined, true, retryDelayUntil(record->earliestLoadAt, now)};
     }
     return std::nullopt;
 }
 
-std::optional<RefusalDetail> SidecarDecisions::Impl::checkRoom(const WaitingCall &call, TimePoint now)
+std::optional<RefusalDetail> SidecarDecisions::Impl::checkCapacity(const WaitingCall &call, TimePoint now)
 {
     const auto *record = adapters_.find(call.which);
-    const bool stalls = !call.which.empty() && (record == nullptr || record->state != ResidencyState::Resident);
-    const Duration wait = std::max(queueDelay(call.callClass, now), stalls ? loadDelay(now) : Duration(0));
-    const bool unreachable =
+    const bool needsLoad = !call.which.empty() && (record == nullptr || record->state != ResidencyState::Resident);
+    const Duration wait = std::max(queueDelay(call.callClass, now), needsLoad ? loadDelay(now) : Duration(0));
+    const bool isUnreachable =
         init_.overload.refuseUnreachable && wait > Duration(0) && now + wait + serviceTime_.at(now) > call.deadline;
-    if (unreachable) {
-        return RefusalDetail{RefusalReason::DeadlineUnreachable, true, retryAfterQueue(now)};
+    if (isUnreachable) {
+        return RefusalDetail{RefusalReason::DeadlineUnreachable, true, queueRetryDelay(now)};
     }
-    if (queue_.size() >= policy().queueLimit && !displace(call, now)) {
-        return RefusalDetail{RefusalReason::QueueFull, true, retryAfterQueue(now)};
+    if (queue_.size() >= policy().queueLimit && !displaceLowerClass(call, now)) {
+        return RefusalDetail{RefusalReason::QueueFull, true, queueRetryDelay(now)};
     }
     return std::nullopt;
 }
 
-bool SidecarDecisions::Impl::displace(const WaitingCall &call, TimePoint now)
+bool SidecarDecisions::Impl::displaceLowerClass(const WaitingCall &call, TimePoint now)
 {
-    const auto lower = [&](const WaitingCall &other) { return other.callClass > call.callClass; };
+    const auto isLowerClass = [&](const WaitingCall &other) { return other.callClass > call.callClass; };
     const FairShare share(executions_, init_.batchLimit);
-    const auto overShare = [&](const WaitingCall &other) { return share.isOver(other.caller); };
-    const auto place =
-        std::visit([&](const auto &order) { return queue_.worst(order, now, lower, overShare); }, queueOrder_);
-    if (place == queue_.calls().end()) {
+    const auto isOverShare = [&](const WaitingCall &other) { return share.exceedsShare(other.caller); };
+    const auto it = std::visit(
+        [&](const auto &order) { return queue_.findLast(order, now, isLowerClass, isOverShare); }, queueOrder_);
+    if (it == queue_.calls().end()) {
         return false;
     }
-    refuseAll(*place, {RefusalReason::QueueFull, true, retryAfterQueue(now)});
-    dropWaiting(place);
+    refuseAll(*it, {RefusalReason::QueueFull, true, queueRetryDelay(now)});
+    removeWaiting(it);
     return true;
 }
 
-WaitingCall SidecarDecisions::Impl::makeCall(PeerHandle from, const wire::CallRequest &request, TimePoint arrived) const
+WaitingCall SidecarDecisions::Impl::makeCall(PeerHandle from, const wire::CallRequest &request,
+                                             TimePoint arrivedAt) const
 {
     WaitingCall call;
     call.request = request;
-    call.listeners.push_back({from, AttemptKey::of(request.id()), request.credit_bytes()});
+    call.listeners.push_back({from, AttemptKey::fromWire(request.id()), request.credit_bytes()});
     call.which = {request.adapter(), request.version()};
     call.callClass = fromWire(request.call_class(), CallClass::Normal);
-    call.arrived = arrived;
-    // A budget from the wire is bounded, so that adding it to a time can't overflow.
-    constexpr std::uint64_t longestBudget = 86'400'000'000ULL;
-    call.deadline = arrived + Duration(std::min(request.budget_us(), longestBudget));
-    call.fingerprint = fingerprintOf(request);
+    call.arrivedAt = arrivedAt;
+    // Prevents an overflow when a budget from the wire is added to a time.
+    constexpr std::uint64_t maxBudgetUs = 86'400'000'000ULL;
+    call.deadline = arrivedAt + Duration(std::min(request.budget_us(), maxBudgetUs));
+    call.fingerprint = computeFingerprint(request);
     call.caller = hash64(request.caller());
     return call;
 }
@@ -200,7 +202,7 @@
     if (call.request.key().empty() || !init_.overload.attachRepeats) {
         return false;
     }
-    auto *execution = executions_.attachable(call.request.key(), call.fingerprint);
+    auto *execution = executions_.findAttachable(call.request.key(), call.fingerprint);
     if (execution == nullptr) {
         return false;
     }
@@ -217,10 +219,10 @@
     execution.cancelAt.reset();
     ++stats_.attached;
     actions_.emplace_back(
-        AttachListener{execution.handle, listener.peer, listener.attempt.message(), listener.creditBytes});
+        AttachListener{execution.handle, listener.peer, listener.attempt.toWire(), listener.creditBytes});
 }
 
-void SidecarDecisions::Impl::joinWaiting(WaitingCall &waiting, const WaitingCall &call)
+void SidecarDecisions::Impl::addWaitingListener(WaitingCall &waiting, const WaitingCall &call)
 {
     waiting.listeners.push_back(call.listeners.front());
     waiting.deadline = std::max(waiting.deadline, call.deadline);
@@ -234,9 +236,9 @@
         return false;
     }
     for (auto &waiting : queue_.calls()) {
-        const bool sameKey = !waiting.atMostOnce && waiting.request.key() == call.request.key();
-        if (sameKey && waiting.fingerprint == call.fingerprint) {
-            joinWaiting(waiting, call);
+        const bool hasSameKey = !waiting.isAtMostOnce && waiting.request.key() == call.request.key();
+        if (hasSameKey && waiting.fingerprint == call.fingerprint) {
+            addWaitingListener(waiting, call);
             return true;
         }
     }
@@ -245,67 +247,67 @@
 
 Duration SidecarDecisions::Impl::queueDelay(CallClass callClass, TimePoint now) const
 {
-    if (executions_.running() < init_.batchLimit) {
+    if (executions_.runningCount() < init_.batchLimit) {
         return Duration(0);
     }
-    const auto ahead = std::ranges::count_if(queue_.calls(), [&](const WaitingCall &call) {
+    const auto callsAhead = std::ranges::count_if(queue_.calls(), [&](const WaitingCall &call) {
         return mayStart(call) && promotedClass(call, starvationBound, now) <= static_cast<int>(callClass);
     });
-    return serviceTime_.at(now) * (ahead + 1) / std::max<std::int64_t>(init_.batchLimit, 1);
+    return serviceTime_.at(now) * (callsAhead + 1) / std::max<std::int64_t>(init_.batchLimit, 1);
 }
 
-/// Expected wait for the load of an absent adapter. Loads are granted about in the order in which their calls came,
-/// so that the longest wait of now is what a new call has before it.
+/// Expected wait for the load of an absent adapter. Loads are granted roughly in order of arrival, so a new call waits
+/// at least as long as the oldest waiting call has.
 Duration SidecarDecisions::Impl::loadDelay(TimePoint now) const
 {
     TimePoint oldest = now;
     for (const auto &call : queue_.calls()) {
-        const bool waitsForLoad = call.record != nullptr && call.record->state == ResidencyState::Absent;
-        oldest = waitsForLoad ? std::min(oldest, call.arrived) : oldest;
+        const bool isWaitingForLoad = call.record != nullptr && call.record->state == ResidencyState::Absent;
+        oldest = isWaitingForLoad ? std::min(oldest, call.arrivedAt) : oldest;
     }
-    return std::max(loadTime_.recentAt(now, loadMemory), now - oldest);
+    return std::max(loadTime_.recentAt(now, maxLoadTimeAge), now - oldest);
 }
 
-/// A call that waits for its adapter and can no longer be answered in time is turned away now: its load would go to
-/// nobody, while calls behind it still have time (after a pulse of overload all loads would come just too late).
-bool SidecarDecisions::Impl::hopeless(const WaitingCall &call, TimePoint now) const
+/// Returns true if a call that waits for its adapter can no longer be answered in time. Prevents loads for calls that
+/// will time out, which would delay the loads of calls that still have time.
+bool SidecarDecisions::Impl::isDeadlineUnreachable(const WaitingCall &call, TimePoint now) const
 {
     constexpr int serviceTimes = 2; // covers most calls that are longer than the mean
-    constexpr int deadlineParts = 4; // a mean over long calls must not turn short ones away
-    const bool waitsForLoad = call.record != nullptr && call.record->state == ResidencyState::Absent;
-    if (!waitsForLoad || !init_.overload.refuseUnreachable) {
+    constexpr int budgetDivisor = 4; // prevents a mean dominated by long calls from refusing short ones
+    const bool isWaitingForLoad = call.record != nullptr && call.record->state == ResidencyState::Absent;
+    if (!isWaitingForLoad || !init_.overload.refuseUnreachable) {
         return false;
     }
     const Duration service =
-        std::min(serviceTimes * serviceTime_.at(now), (call.deadline - call.arrived) / deadlineParts);
-    return now + loadTime_.recentAt(now, loadMemory) + service > call.deadline;
+        std::min(serviceTimes * serviceTime_.at(now), (call.deadline - call.arrivedAt) / budgetDivisor);
+    return now + loadTime_.recentAt(now, maxLoadTimeAge) + service > call.deadline;
 }
 
-Duration SidecarDecisions::Impl::retryAfterQueue(TimePoint now)
+Duration SidecarDecisions::Impl::queueRetryDelay(TimePoint now)
 {
-    // Spread out, so that callers who were refused together do not come back together.
-    const Duration delay = std::clamp(queueDelay(CallClass::Bulk, now), shortestRetry, longestRetry);
+    // Jitter prevents callers that were refused together from retrying together.
+    const Duration delay = std::clamp(queueDelay(CallClass::Bulk, now), minRetryDelay, maxRetryDelay);
     return delay + random_.jitter(delay);
 }
 
 bool SidecarDecisions::Impl::isOpen(const AttemptKey &attempt) const
 {
-    const auto listens = [&](const auto &call) {
+    const auto hasListener = [&](const auto &call) {
         return std::ranges::find(call.listeners, attempt, &Listener::attempt) != call.listeners.end();
     };
-    return std::ranges::any_of(queue_.calls(), listens)
-           || std::ranges::any_of(executions_.all(), [&](const auto &entry) { return listens(entry.second); })
-           || std::ranges::any_of(held_,
-                                  [&](const HeldCall &held) { return AttemptKey::of(held.request.id()) == attempt; });
+    return std::ranges::any_of(queue_.calls(), hasListener)
+           || std::ranges::any_of(executions_.all(), [&](const auto &entry) { return hasListener(entry.second); })
+           || std::ranges::any_of(
+               heldCalls_, [&](const HeldCall &held) { return AttemptKey::fromWire(held.request.id()) == attempt; });
 }
 
 void SidecarDecisions::Impl::refuse(const Listener &listener, const RefusalDetail &detail)
 {
     stats_.refusals.add(detail.reason);
-    ended_.add(listener.attempt);
+    endedAttempts_.add(listener.attempt);
     wire::Envelope message;
     auto &refused = *message.mutable_call_refused();
-    *refused.mutable_id() = listener.attempt.message();
+    *refused.mutable_id() = listener.attempt.toWire();
     refused.set_reason(static_cast<std::uint32_t>(detail.reason));
     refused.set_proved_not_run(detail.provedNotRun);
     refused.set_retry_after_us(static_cast<std::uint64_t>(detail.retryAfter.count()));
--- a/src/residency/sidecar_calls.cpp
+++ b/src/residency/sidecar_calls.cpp
@@ -1,4 +1,4 @@
-// Calls that wait or run: start, end, cancel, expiry.
+// Start, end, cancel and expiry of waiting and running calls.
 #include "sidecar.h"
 
 #include <algorithm>
@@ -7,36 +7,36 @@
 
 namespace {
 
-/// Whether the endpoint has certainly stopped working on the call.
-bool isConfirmedEnd(const KeptAnswer &answer)
+/// Returns true if the endpoint has certainly stopped working on the call.
+bool hasEndpointFinished(const KeptAnswer &answer)
 {
     if (answer.outcome == CallOutcome::Complete || answer.outcome == CallOutcome::Cancelled) {
         return true;
     }
     if (answer.failure == FailureReason::AnswerIncomplete) {
-        return true; // read to its end, but too long to be kept for a repeat
+        return true; // read completely, but too long to be kept for a repeat
     }
-    const bool saidSo = answer.failure == FailureReason::EndpointError;
-    const bool neverSent = answer.failure == FailureReason::EndpointUnreachable;
-    return answer.outcome == CallOutcome::Failed && (saidSo || neverSent);
+    const bool isReportedByEndpoint = answer.failure == FailureReason::EndpointError;
+    const bool isNeverSent = answer.failure == FailureReason::EndpointUnreachable;
+    return answer.outcome == CallOutcome::Failed && (isReportedByEndpoint || isNeverSent);
 }
 
 } // namespace
 
 void SidecarDecisions::Impl::startCalls(Now now)
 {
-    if (!admitting()) {
+    if (!isAdmitting()) {
         return;
     }
-    while (executions_.running() < init_.batchLimit) {
+    while (executions_.runningCount() < init_.batchLimit) {
         const FairShare share(executions_, init_.batchLimit);
-        const auto overShare = [&](const WaitingCall &call) { return share.isOver(call.caller); };
-        const auto place = std::visit(
-            [&](const auto &order) { return queue_.best(order, now.mono, mayStart, overShare); }, queueOrder_);
-        if (place == queue_.calls().end()) {
+        const auto isOverShare = [&](const WaitingCall &call) { return share.exceedsShare(call.caller); };
+        const auto it = std::visit(
+            [&](const auto &order) { return queue_.findFirst(order, now.mono, mayStart, isOverShare); }, queueOrder_);
+        if (it == queue_.calls().end()) {
             return;
         }
-        startCall(place, now);
+        startCall(it, now);
     }
 }
 
@@ -45,16 +45,16 @@
     if (call.listeners.empty()) {
         return false;
     }
-    return call.record == nullptr || (call.record->state == ResidencyState::Resident && !call.record->yielding);
+    return call.record == nullptr || (call.record->state == ResidencyState::Resident && !call.record->isYielding);
 }
 
-void SidecarDecisions::Impl::startCall(CallQueue::Place place, Now now)
+void SidecarDecisions::Impl::startCall(CallQueue::Iterator it, Now now)
 {
-    if (!mayStillRun(*place, now)) {
-        refuseAll(*place, {RefusalReason::NotSlotOwner});
-        return dropWaiting(place);
+    if (!stillOwnsSlot(*it, now)) {
+        refuseAll(*it, {RefusalReason::NotSlotOwner});
+        return removeWaiting(it);
     }
-    WaitingCall call = queue_.take(place);
+    WaitingCall call = queue_.remove(it);
     Execution execution;
     execution.handle = call.execution;
     execution.which = call.which;
@@ -63,40 +63,39 @@
     execution.fingerprint = call.fingerprint;
     execution.caller = call.caller;
     execution.listeners = call.listeners;
-    execution.started = now.mono;
+    execution.startedAt = now.mono;
     execution.deadline = call.deadline;
-    execution.atMostOnce = call.atMostOnce;
+    execution.isAtMostOnce = call.isAtMostOnce;
     if (auto *record = call.record) {
         --record->waiting;
-        // The pin comes before the call is sent: in the other order an eviction could be decided between the two, and
-        // the engine would drop the adapter under the call.
-        execution.pinned = init_.safeguards.pinBeforeSend && adapters_.pin(*record, now.mono);
+        // Pinning before the send prevents an eviction between the two, which would unload the adapter under the call.
+        execution.isPinned = init_.safeguards.pinBeforeSend && adapters_.pin(*record, now.mono);
         markChanged(call.which, false);
     }
-    countStall(call, call.request, now.mono);
+    recordStall(call, call.request, now.mono);
     const auto &first = call.listeners.front();
-    *call.request.mutable_id() = first.attempt.message();
+    *call.request.mutable_id() = first.attempt.toWire();
     call.request.set_credit_bytes(first.creditBytes);
     call.request.set_budget_us(static_cast<std::uint64_t>(std::max(call.deadline - now.mono, Duration(1)).count()));
     ++stats_.executions;
     const auto handle = execution.handle;
-    const bool keepAnswer = execution.atMostOnce;
+    const bool keepAnswer = execution.isAtMostOnce;
     executions_.add(std::move(execution));
     actions_.emplace_back(
-        StartExecution{handle, first.peer, std::move(call.request), keepAnswer, now.mono + sendLimit});
+        StartExecution{handle, first.peer, std::move(call.request), keepAnswer, now.mono + maxSendDelay});
     for (std::size_t i = 1; i < call.listeners.size(); ++i) {
         const auto &listener = call.listeners[i];
-        actions_.emplace_back(AttachListener{handle, listener.peer, listener.attempt.message(), listener.creditBytes});
+        actions_.emplace_back(AttachListener{handle, listener.peer, listener.attempt.toWire(), listener.creditBytes});
     }
 }
 
-void SidecarDecisions::Impl::countStall(const WaitingCall &call, wire::CallRequest &request, TimePoint now)
+void SidecarDecisions::Impl::recordStall(const WaitingCall &call, wire::CallRequest &request, TimePoint now)
 {
     const auto *record = call.record;
-    if (record == nullptr || !call.waitedForAdapter) {
+    if (record == nullptr || !call.hasWaitedForAdapter) {
         return;
     }
-    const Duration stall = std::clamp(record->residentSince - call.arrived, Duration(0), now - call.arrived);
+    const Duration stall = std::clamp(record->residentSince - call.arrivedAt, Duration(0), now - call.arrivedAt);
     request.set_stall_us(static_cast<std::uint64_t>(stall.count()));
     ++stats_.stalledCalls;
     stats_.stallTotal += stall;
@@ -105,11 +104,11 @@
 void SidecarDecisions::Impl::onExecutionStarted(ExecutionHandle handle, Now now)
 {
     auto *execution = executions_.find(handle);
-    if (execution == nullptr || execution->pinned || execution->obsolete) {
+    if (execution == nullptr || execution->isPinned || execution->isObsolete) {
         return;
     }
     if (auto *record = adapters_.find(execution->which)) {
-        execution->pinned = adapters_.pin(*record, now.mono);
+        execution->isPinned = adapters_.pin(*record, now.mono);
     }
 }
 
@@ -119,91 +118,91 @@
     if (execution == nullptr) {
         return;
     }
-    if (answer.outcome == CallOutcome::Complete && !execution->obsolete) {
-        serviceTime_.add(now.mono - execution->started, now.mono);
+    if (answer.outcome == CallOutcome::Complete && !execution->isObsolete) {
+        serviceTime_.add(now.mono - execution->startedAt, now.mono);
     }
     releasePin(*execution, answer, now);
     for (const auto &listener : execution->listeners) {
-        ended_.add(listener.attempt);
+        endedAttempts_.add(listener.attempt);
     }
-    endKey(*execution, std::move(answer), now);
+    finishKey(*execution, std::move(answer), now);
     executions_.erase(handle);
 }
 
 void SidecarDecisions::Impl::releasePin(Execution &execution, const KeptAnswer &answer, Now now)
 {
     auto *record = adapters_.find(execution.which);
-    if (record == nullptr || !execution.pinned) {
+    if (record == nullptr || !execution.isPinned) {
         return;
     }
-    execution.pinned = false;
-    if (isConfirmedEnd(answer)) {
+    execution.isPinned = false;
+    if (hasEndpointFinished(answer)) {
         adapters_.unpin(*record);
-        // The scheduler was told that no slot can be freed; it should not learn only at the interval that one can.
-        markChanged(execution.which, blockedTold_ && !record->mayRun());
+        // If the last demands reported that no slot can be freed, the scheduler is notified of the free one at once.
+        markChanged(execution.which, hasSentBlockedDemand_ && !record->mayHaveRunningCalls());
         return;
     }
     markChanged(execution.which, false);
-    // A broken connection or a timeout is not an end: the engine may go on with the call for a while. The adapter
-    // stays protected until the engine's own list, made later, shows none running.
-    adapters_.pinToLingering(*record, orders_.lastNumber(), now.mono);
+    // After a broken connection or a timeout the engine may continue with the call. The adapter stays protected until a
+    // later list of the engine shows no running call.
+    adapters_.convertPinToOrphan(*record, orders_.lastNumber(), now.mono);
 }
 
 void SidecarDecisions::Impl::onCancel(const wire::CallCancel &cancel, Now now)
 {
-    const auto attempt = AttemptKey::of(cancel.id());
-    std::erase_if(held_, [&](const HeldCall &held) { return AttemptKey::of(held.request.id()) == attempt; });
-    leaveWaiting(attempt, now);
-    leaveRunning(attempt, now);
-    // Also for an attempt that is not known: a cancel which overtook its call must still keep it from running.
-    if (!ended_.has(attempt)) {
-        ended_.add(attempt);
+    const auto attempt = AttemptKey::fromWire(cancel.id());
+    std::erase_if(heldCalls_, [&](const HeldCall &held) { return AttemptKey::fromWire(held.request.id()) == attempt; });
+    detachFromWaiting(attempt, now);
+    detachFromRunning(attempt, now);
+    // Also for an unknown attempt: prevents a call from running if its cancel arrives first.
+    if (!endedAttempts_.contains(attempt)) {
+        endedAttempts_.add(attempt);
     }
 }
 
-void SidecarDecisions::Impl::leaveWaiting(const AttemptKey &attempt, Now now)
+void SidecarDecisions::Impl::detachFromWaiting(const AttemptKey &attempt, Now now)
 {
-    for (auto place = queue_.calls().begin(); place != queue_.calls().end(); ++place) {
-        if (std::erase_if(place->listeners, [&](const auto &listener) { return listener.attempt == attempt; }) == 0) {
+    for (auto it = queue_.calls().begin(); it != queue_.calls().end(); ++it) {
+        if (std::erase_if(it->listeners, [&](const auto &listener) { return listener.attempt == attempt; }) == 0) {
             continue;
         }
-        ended_.add(attempt);
-        if (!place->listeners.empty()) {
+        endedAttempts_.add(attempt);
+        if (!it->listeners.empty()) {
             return;
         }
-        // A caller that timed out often comes back within seconds. Its place in the queue is kept for that long;
-        // a repeat that joined at the back would wait out its deadline again (Zhang and Wang).
-        if (place->request.key().empty() || policy().cancelDelay <= Duration(0)) {
-            dropWaiting(place);
+        // A caller that timed out often retries within seconds. Keeping its queue position prevents the repeat from
+        // timing out again at the back of the queue (Zhang and Wang).
+        if (it->request.key().empty() || policy().cancelDelay <= Duration(0)) {
+            removeWaiting(it);
         } else {
-            place->dropAt = now.mono + policy().cancelDelay;
-            queue_.noteDue(*place->dropAt);
+            it->dropAt = now.mono + policy().cancelDelay;
+            queue_.scheduleCheck(*it->dropAt);
         }
         return;
     }
 }
 
-void SidecarDecisions::Impl::leaveRunning(const AttemptKey &attempt, Now now)
+void SidecarDecisions::Impl::detachFromRunning(const AttemptKey &attempt, Now now)
 {
     for (auto &[handle, execution] : executions_.all()) {
         if (std::erase_if(execution.listeners, [&](const auto &listener) { return listener.attempt == attempt; })
             == 0) {
             continue;
         }
-        ended_.add(attempt);
-        actions_.emplace_back(DetachListener{handle, attempt.message()});
+        endedAttempts_.add(attempt);
+        actions_.emplace_back(DetachListener{handle, attempt.toWire()});
         if (execution.listeners.empty()) {
-            abandon(execution, now.mono);
+            scheduleCancel(execution, now.mono);
         }
         return;
     }
 }
 
-void SidecarDecisions::Impl::abandon(Execution &execution, TimePoint now)
+void SidecarDecisions::Impl::scheduleCancel(Execution &execution, TimePoint now)
 {
-    // A call that must run at most once is left to end by itself: cancelling it would leave its outcome unknown for
-    // ever, while its kept answer serves the caller's repeat.
-    if (execution.atMostOnce || execution.cancelling) {
+    // At-most-once calls are not cancelled: that would leave the outcome unknown, whereas the kept answer serves the
+    // caller's repeat.
+    if (execution.isAtMostOnce || execution.isCancelling) {
         return;
     }
     if (execution.key.empty() || policy().cancelDelay <= Duration(0)) {
@@ -212,16 +211,16 @@
     execution.cancelAt = now + policy().cancelDelay;
 }
 
-void SidecarDecisions::Impl::cancel(Execution &execution, FailureReason why)
+void SidecarDecisions::Impl::cancel(Execution &execution, FailureReason reason)
 {
-    execution.cancelling = true;
+    execution.isCancelling = true;
     execution.cancelAt.reset();
-    actions_.emplace_back(CancelExecution{execution.handle, why});
+    actions_.emplace_back(CancelExecution{execution.handle, reason});
 }
 
 void SidecarDecisions::Impl::onCredit(const wire::CallCredit &credit)
 {
-    const auto attempt = AttemptKey::of(credit.id());
+    const auto attempt = AttemptKey::fromWire(credit.id());
     for (auto &call : queue_.calls()) {
         for (auto &listener : call.listeners) {
             listener.creditBytes += listener.attempt == attempt ? credit.bytes() : 0;
@@ -231,20 +230,20 @@
 
 void SidecarDecisions::Impl::expireCalls(Now now)
 {
-    expireHeld(now);
-    const bool checkLoads = demandSince_ && nextHopelessCheck_ <= now.mono;
-    if (checkLoads || queue_.next().value_or(TimePoint::max()) <= now.mono) {
-        nextHopelessCheck_ = now.mono + hopelessEvery;
+    expireHeldCalls(now);
+    const bool isLoadCheckDue = demandSince_ && nextDeadlineCheckAt_ <= now.mono;
+    if (isLoadCheckDue || queue_.nextCheckAt().value_or(TimePoint::max()) <= now.mono) {
+        nextDeadlineCheckAt_ = now.mono + deadlineCheckInterval;
         expireWaiting(now);
     }
     for (auto &[handle, execution] : executions_.all()) {
-        if (execution.cancelling || execution.atMostOnce) {
+        if (execution.isCancelling || execution.isAtMostOnce) {
             continue;
         }
         if (execution.cancelAt && *execution.cancelAt <= now.mono) {
             cancel(execution, FailureReason::CallerGone);
         } else if (execution.deadline + policy().cancelDelay <= now.mono) {
-            // Its entry should have cancelled it; an entry that died or hangs must not hold a place in the batch.
+            // Prevents a crashed or hung entry from blocking a slot of the batch; normally the entry cancels the call.
             cancel(execution, FailureReason::DeadlinePassed);
         }
     }
@@ -252,26 +251,26 @@
 
 void SidecarDecisions::Impl::expireWaiting(Now now)
 {
-    for (auto place = queue_.calls().begin(); place != queue_.calls().end();) {
-        const auto current = place++;
-        const bool passed = current->deadline <= now.mono;
-        const bool expired = passed || hopeless(*current, now.mono);
-        if (passed) {
+    for (auto it = queue_.calls().begin(); it != queue_.calls().end();) {
+        const auto current = it++;
+        const bool isPastDeadline = current->deadline <= now.mono;
+        const bool isExpired = isPastDeadline || isDeadlineUnreachable(*current, now.mono);
+        if (isPastDeadline) {
             refuseAll(*current, {RefusalReason::DeadlinePassed});
-        } else if (expired) {
-            refuseAll(*current, {RefusalReason::DeadlineUnreachable, true, retryAfterQueue(now.mono)});
+        } else if (isExpired) {
+            refuseAll(*current, {RefusalReason::DeadlineUnreachable, true, queueRetryDelay(now.mono)});
         }
-        if (expired || (current->dropAt && *current->dropAt <= now.mono)) {
-            dropWaiting(current);
+        if (isExpired || (current->dropAt && *current->dropAt <= now.mono)) {
+            removeWaiting(current);
         }
     }
-    queue_.refreshNext();
+    queue_.recomputeNextCheck();
 }
 
-void SidecarDecisions::Impl::dropWaiting(CallQueue::Place place)
+void SidecarDecisions::Impl::removeWaiting(CallQueue::Iterator it)
 {
-    const WaitingCall call = queue_.take(place);
-    if (call.atMostOnce) {
+    const WaitingCall call = queue_.remove(it);
+    if (call.isAtMostOnce) {
         releaseKey(call.request.service(), call.request.key());
     }
     if (call.record != nullptr) {
--- a/src/residency/sidecar_keys.cpp
+++ b/src/residency/sidecar_keys.cpp
@@ -1,5 +1,5 @@
-// Calls that must run at most once. The key is decided on before anything else may refuse the call: a refusal "not
-// run" is true for the caller only if no earlier attempt with the same key ran, and the owner of its slot alone knows.
+// At-most-once calls. The key is checked before any other refusal: a refusal "not run" is only valid if no earlier
+// attempt with the same key ran, which only the slot owner can determine.
 #include "sidecar.h"
 
 #include <algorithm>
@@ -8,14 +8,13 @@
 
 namespace {
 
-constexpr Duration expireEvery = Seconds(10);
-constexpr Duration ownerRetry = Milliseconds(500);
-// After that a drain no longer waits for the slots to be handed over: the leases lapse by themselves.
-constexpr int drainLeases = 3;
+constexpr Duration keyExpiryInterval = Seconds(10);
+constexpr Duration ownerRetryDelay = Milliseconds(500);
+constexpr int maxDrainLeases = 3; // lease durations that a drain waits for slot transfers; then the leases expire
 
 } // namespace
 
-std::optional<ServiceView> SidecarDecisions::Impl::serviceOf(const wire::CallRequest &request) const
+std::optional<ServiceView> SidecarDecisions::Impl::findService(const wire::CallRequest &request) const
 {
     if (isEngine() || init_.config == nullptr) {
         return std::nullopt;
@@ -23,15 +22,15 @@
     return init_.config->service(request.service());
 }
 
-KeyGuard *SidecarDecisions::Impl::guardOf(const std::string &service)
+KeyGuard *SidecarDecisions::Impl::findGuard(const std::string &service)
 {
-    const auto place = guards_.find(service);
-    return place == guards_.end() ? nullptr : place->second.get();
+    const auto it = guards_.find(service);
+    return it == guards_.end() ? nullptr : it->second.get();
 }
 
-void SidecarDecisions::Impl::openGuards(Now now)
+void SidecarDecisions::Impl::createGuards(Now now)
 {
-    if (isEngine() || init_.config == nullptr || init_.timers == nullptr || leaving_) {
+    if (isEngine() || init_.config == nullptr || init_.timers == nullptr || isLeaving_) {
         return;
     }
     for (const auto &service : init_.services) {
@@ -55,7 +54,7 @@
             message.set_message_id(++lastMessage_);
             actions_.emplace_back(SendMessage{{}, std::move(message), member});
         };
-        init.owner.beforeGiving = [this, service](std::uint32_t slot) { giveSlot(service, slot); };
+        init.owner.beforeGiving = [this, service](std::uint32_t slot) { refuseSlotCalls(service, slot); };
         const auto submit = [this](KvRequest request) { actions_.emplace_back(SubmitKv{std::move(request)}); };
         auto &guard = *guards_.emplace(service, std::make_unique<KeyGuard>(std::move(init), submit)).first->second;
         guard.owner().start(now);
@@ -65,24 +64,25 @@
     }
 }
 
-void SidecarDecisions::Impl::giveSlot(const std::string &service, std::uint32_t slot)
+void SidecarDecisions::Impl::refuseSlotCalls(const std::string &service, std::uint32_t slot)
 {
     const auto view = init_.config->service(service);
     if (!view) {
         return;
     }
-    // Calls of the slot that have not been sent are handed back and their keys forgotten, so that the receiver may run
-    // them. Those that run go over as "outcome unknown".
-    refuseWaiting({RefusalReason::NotSlotOwner, true, random_.jitter(ownerRetry)}, [&](const WaitingCall &call) {
-        return call.atMostOnce && call.request.service() == service && slotOf(call.request.key(), view->slots) == slot;
+    // Calls that have not been sent are refused and their keys released, so that the new owner can run them. Running
+    // calls are transferred as "outcome unknown".
+    refuseWaiting({RefusalReason::NotSlotOwner, true, random_.jitter(ownerRetryDelay)}, [&](const WaitingCall &call) {
+        return call.isAtMostOnce && call.request.service() == service
+               && slotOf(call.request.key(), view->slots) == slot;
     });
 }
 
-std::optional<RefusalDetail> SidecarDecisions::Impl::decideKey(WaitingCall &call, const ServiceView &view, Now now,
-                                                               bool &answered)
+std::optional<RefusalDetail> SidecarDecisions::Impl::checkKey(WaitingCall &call, const ServiceView &view, Now now,
+                                                              bool &isAnswered)
 {
     const auto &request = call.request;
-    auto *guard = guardOf(request.service());
+    auto *guard = findGuard(request.service());
     if (request.key().empty()) {
         return RefusalDetail{RefusalReason::KeyMissing};
     }
@@ -90,32 +90,32 @@
         return RefusalDetail{RefusalReason::KeyInvalid};
     }
     if (guard == nullptr) {
-        return RefusalDetail{RefusalReason::SlotUnowned, true, random_.jitter(ownerRetry)};
+        return RefusalDetail{RefusalReason::SlotUnowned, true, random_.jitter(ownerRetryDelay)};
     }
-    const auto owned = guard->ownership(request.key(), view, now);
-    // An entry that believes in another fencing number speaks to an owner of another time: it reads the table again.
-    const bool otherFence = request.slot_fence() != 0 && request.slot_fence() != owned.fence;
-    if (!owned.owned || otherFence) {
-        return RefusalDetail{RefusalReason::NotSlotOwner, true, random_.jitter(ownerRetry), owned.fence};
+    const auto ownership = guard->ownership(request.key(), view, now);
+    // A different fencing number means that the entry's slot table is out of date; the refusal makes it read it again.
+    const bool hasOtherFence = request.slot_fence() != 0 && request.slot_fence() != ownership.fence;
+    if (!ownership.owned || hasOtherFence) {
+        return RefusalDetail{RefusalReason::NotSlotOwner, true, random_.jitter(ownerRetryDelay), ownership.fence};
     }
-    call.slotFence = owned.fence;
+    call.slotFence = ownership.fence;
     call.execution = ExecutionHandle{++lastExecution_};
-    auto decision = guard->admit(request.key(), call.fingerprint, view, owned, call.execution, now);
+    auto decision = guard->admit(request.key(), call.fingerprint, view, ownership, call.execution, now);
     const auto &listener = call.listeners.front();
     switch (decision.kind) {
     case KeyDecisionKind::Run:
         return std::nullopt;
     case KeyDecisionKind::Attach:
-        answered = attachByHandle(decision.execution, call);
-        return answered ? std::nullopt : std::optional(RefusalDetail{RefusalReason::Internal, false});
+        isAnswered = attachByHandle(decision.execution, call);
+        return isAnswered ? std::nullopt : std::optional(RefusalDetail{RefusalReason::Internal, false});
     case KeyDecisionKind::Replay:
-        answered = true;
-        ended_.add(listener.attempt);
+        isAnswered = true;
+        endedAttempts_.add(listener.attempt);
         ++stats_.replayed;
-        actions_.emplace_back(ReplayAnswer{listener.peer, listener.attempt.message(), std::move(decision.answer)});
+        actions_.emplace_back(ReplayAnswer{listener.peer, listener.attempt.toWire(), std::move(decision.answer)});
         return std::nullopt;
     default:
-        return RefusalDetail{decision.reason, decision.provedNotRun, {}, owned.fence};
+        return RefusalDetail{decision.reason, decision.provedNotRun, {}, ownership.fence};
     }
 }
 
@@ -125,87 +125,87 @@
         attachListener(*execution, call);
         return true;
     }
-    const auto place = std::ranges::find(queue_.calls(), handle, &WaitingCall::execution);
-    if (place == queue_.calls().end()) {
+    const auto it = std::ranges::find(queue_.calls(), handle, &WaitingCall::execution);
+    if (it == queue_.calls().end()) {
         return false;
     }
-    joinWaiting(*place, call);
+    addWaitingListener(*it, call);
     return true;
 }
 
 void SidecarDecisions::Impl::admitAtMostOnce(WaitingCall call, const ServiceView &view, Now now)
 {
     const Listener listener = call.listeners.front();
-    call.atMostOnce = true;
-    bool answered = false;
-    if (const auto refusal = decideKey(call, view, now, answered)) {
+    call.isAtMostOnce = true;
+    bool isAnswered = false;
+    if (const auto refusal = checkKey(call, view, now, isAnswered)) {
         return refuse(listener, *refusal);
     }
-    if (answered) {
+    if (isAnswered) {
         return;
     }
-    // The key is new, so that these refusals are a proof for the key and not only for this attempt.
+    // The key is new, so these refusals prove "not run" for the key and not only for this attempt.
     auto refusal = checkState(now.mono);
-    refusal = refusal ? refusal : checkRoom(call, now.mono);
+    refusal = refusal ? refusal : checkCapacity(call, now.mono);
     if (refusal) {
         refusal->slotFence = call.slotFence;
-        guardOf(call.request.service())->release(call.request.key());
+        findGuard(call.request.service())->release(call.request.key());
         return refuse(listener, *refusal);
     }
     queue_.push(std::move(call));
 }
 
-bool SidecarDecisions::Impl::mayStillRun(const WaitingCall &call, Now now)
+bool SidecarDecisions::Impl::stillOwnsSlot(const WaitingCall &call, Now now)
 {
-    if (!call.atMostOnce || !init_.safeguards.leaseRecheck) {
+    if (!call.isAtMostOnce || !init_.safeguards.leaseRecheck) {
         return true;
     }
-    // Between admission and now the process may have been paused past its lease. A successor runs no key stamped
-    // before its take-over and margin, so that even a pause after this check runs nothing twice.
-    auto *guard = guardOf(call.request.service());
-    const auto view = serviceOf(call.request);
+    // Prevents a second execution if the process was paused past its lease since admission. A successor runs no key
+    // stamped before its acquisition plus margin, which also covers a pause after this check.
+    auto *guard = findGuard(call.request.service());
+    const auto view = findService(call.request);
     if (guard == nullptr || !view) {
         return false;
     }
-    const auto owned = guard->ownership(call.request.key(), *view, now);
-    return owned.owned && owned.fence == call.slotFence;
+    const auto ownership = guard->ownership(call.request.key(), *view, now);
+    return ownership.owned && ownership.fence == call.slotFence;
 }
 
 bool SidecarDecisions::Impl::provesNotRun(const wire::CallRequest &request, Now now)
 {
-    const auto view = serviceOf(request);
+    const auto view = findService(request);
     if (!view || view->idempotent || request.key().empty()) {
         return true;
     }
-    auto *guard = guardOf(request.service());
-    return guard != nullptr && guard->provesNotRun(request.key(), fingerprintOf(request), *view, now);
+    auto *guard = findGuard(request.service());
+    return guard != nullptr && guard->provesNotRun(request.key(), computeFingerprint(request), *view, now);
 }
 
 void SidecarDecisions::Impl::releaseKey(const std::string &service, const std::string &key)
 {
-    if (auto *guard = guardOf(service)) {
+    if (auto *guard = findGuard(service)) {
         guard->release(key);
     }
 }
 
-void SidecarDecisions::Impl::endKey(const Execution &execution, KeptAnswer &&answer, Now now)
+void SidecarDecisions::Impl::finishKey(const Execution &execution, KeptAnswer &&answer, Now now)
 {
-    auto *guard = guardOf(execution.service);
-    if (!execution.atMostOnce || guard == nullptr) {
+    auto *guard = findGuard(execution.service);
+    if (!execution.isAtMostOnce || guard == nullptr) {
         return;
     }
     if (answer.failure == FailureReason::EndpointUnreachable) {
-        return guard->release(execution.key); // nothing was sent
+        return guard->release(execution.key); // the call was not sent
     }
     guard->finish(execution.key, std::move(answer), now);
 }
 
 void SidecarDecisions::Impl::expireKeys(Now now)
 {
-    if (guards_.empty() || now.mono < nextKeyExpiry_) {
+    if (guards_.empty() || now.mono < nextKeyExpiryAt_) {
         return;
     }
-    nextKeyExpiry_ = now.mono + expireEvery;
+    nextKeyExpiryAt_ = now.mono + keyExpiryInterval;
     for (auto &[service, guard] : guards_) {
         if (const auto view = init_.config->service(service)) {
             guard->expire(*view, now);
@@ -215,7 +215,7 @@
 
 void SidecarDecisions::Impl::drainGuards(Now now)
 {
-    guardsUntil_ = now.mono + drainLeases * init_.timing.lease;
+    guardsDeadline_ = now.mono + maxDrainLeases * init_.timing.lease;
     for (auto &[service, guard] : guards_) {
         guard->owner().drain(now);
     }
@@ -223,8 +223,9 @@
 
 bool SidecarDecisions::Impl::guardsDrained(Now now)
 {
-    const bool all = std::ranges::all_of(guards_, [](const auto &entry) { return entry.second->owner().drained(); });
-    return all || guardsUntil_ <= now.mono;
+    const bool isEveryGuardDrained =
+        std::ranges::all_of(guards_, [](const auto &entry) { return entry.second->owner().drained(); });
+    return isEveryGuardDrained || guardsDeadline_ <= now.mono;
 }
 
 } // namespace anvilscale
--- a/src/residency/sidecar_loads.cpp
+++ b/src/residency/sidecar_loads.cpp
@@ -1,4 +1,4 @@
-// Which adapter gets a slot next, and at whose expense.
+// Load planning: selects the adapters to load and to evict.
 #include "sidecar.h"
 
 #include <algorithm>
@@ -8,60 +8,60 @@
 
 namespace {
 
-constexpr Duration firstBackoff = Seconds(1);
-constexpr Duration longestBackoff = Seconds(60);
-constexpr Duration firstQuarantine = Seconds(30);
-constexpr Duration longestQuarantine = std::chrono::minutes(10);
-constexpr std::uint32_t failuresToQuarantine = 3;
+constexpr Duration minBackoff = Seconds(1);
+constexpr Duration maxBackoff = Seconds(60);
+constexpr Duration minQuarantine = Seconds(30);
+constexpr Duration maxQuarantine = std::chrono::minutes(10);
+constexpr std::uint32_t quarantineThreshold = 3;
 constexpr std::uint32_t maxDoublings = 10;
-constexpr std::size_t grantsRemembered = 32;
-constexpr Duration grantPatience = Seconds(15);
+constexpr std::size_t maxRecentGrants = 32;
+constexpr Duration maxGrantWait = Seconds(15);
 
-Duration doubled(Duration first, std::uint32_t times, Duration longest)
+Duration exponentialDelay(Duration base, std::uint32_t doublings, Duration maxDelay)
 {
-    return std::min(Duration(first.count() << std::min(times, maxDoublings)), longest);
+    return std::min(Duration(base.count() << std::min(doublings, maxDoublings)), maxDelay);
 }
 
-double secondsOf(Duration span)
+double toSeconds(Duration duration)
 {
-    return std::chrono::duration<double>(span).count();
+    return std::chrono::duration<double>(duration).count();
 }
 
 } // namespace
 
 void SidecarDecisions::Impl::planLoads(Now now)
 {
-    advanceTickets(now);
-    const bool anyWaits = std::ranges::any_of(adapters_.records(), [](const auto &entry) {
+    advanceLoads(now);
+    const bool hasWaitingCalls = std::ranges::any_of(adapters_.records(), [](const auto &entry) {
         return entry.second.waiting != 0 && !entry.second.occupiesSlot();
     });
-    watchScheduler(anyWaits, now.mono);
-    if (!anyWaits) {
-        // The call for which an adapter yields may be given up. Without this the adapter took no calls ever after: its
-        // callers wait for a resident adapter, so that nobody would wait for a load and no plan would be made.
+    checkScheduler(hasWaitingCalls, now.mono);
+    if (!hasWaitingCalls) {
+        // Prevents an adapter from yielding indefinitely after the starving call was cancelled.
         clearYielding();
     }
-    if (!admitting() || (!anyWaits && prefetch_.empty())) {
+    if (!isAdmitting() || (!hasWaitingCalls && prefetch_.empty())) {
         return;
     }
-    // The list of demands is only made when something can come of it: this runs after every event.
-    const bool local = mayLoadByItself(now.mono);
-    const bool starving = std::ranges::any_of(
-        queue_.calls(), [&](const WaitingCall &call) { return starves(call.arrived, call.deadline, now.mono); });
-    if (!starving) {
+    // Runs after every event, so the demands are only collected if they can lead to an action.
+    const bool isLocalLoadAllowed = mayLoadWithoutGrant(now.mono);
+    const bool hasStarvingCall = std::ranges::any_of(queue_.calls(), [&](const WaitingCall &call) {
+        return exceedsStarvationBound(call.arrivedAt, call.deadline, now.mono);
+    });
+    if (!hasStarvingCall) {
         clearYielding();
     }
-    if (!local && !starving) {
+    if (!isLocalLoadAllowed && !hasStarvingCall) {
         return;
     }
-    const auto wanted = demands(now.mono);
-    if (local) {
-        addLocalTicket(wanted, now);
+    const auto demands = collectDemands(now.mono);
+    if (isLocalLoadAllowed) {
+        planLocalLoad(demands, now);
     }
-    chooseYielding(wanted, now);
+    chooseYieldingAdapter(demands, now);
 }
 
-std::vector<Demand> SidecarDecisions::Impl::demands(TimePoint now) const
+std::vector<Demand> SidecarDecisions::Impl::collectDemands(TimePoint now) const
 {
     std::map<AdapterVersion, Demand> byAdapter;
     for (const auto &call : queue_.calls()) {
@@ -71,12 +71,12 @@
         auto &demand = byAdapter[call.which];
         demand.which = call.which;
         ++demand.waiting;
-        demand.mostUrgent = std::min(demand.mostUrgent, call.callClass);
-        demand.oldest = std::min(demand.oldest, call.arrived);
-        demand.leastDeadline = std::min(demand.leastDeadline, call.deadline);
-        // Grows with the wait, so that the least popular adapter's turn comes too.
+        demand.highestClass = std::min(demand.highestClass, call.callClass);
+        demand.oldestArrival = std::min(demand.oldestArrival, call.arrivedAt);
+        demand.earliestDeadline = std::min(demand.earliestDeadline, call.deadline);
+        // Grows with the wait. Prevents starvation of unpopular adapters.
         const double weight = policy().classWeights[static_cast<std::size_t>(call.callClass)];
-        demand.gain += weight * (1.0 + secondsOf(now - call.arrived));
+        demand.gain += weight * (1.0 + toSeconds(now - call.arrivedAt));
     }
     std::vector<Demand> result = prefetchDemands(now);
     result.reserve(result.size() + byAdapter.size());
@@ -87,138 +87,139 @@
     return result;
 }
 
-/// A call whose whole patience is shorter than the starvation bound would be refused while adapters that nobody uses
-/// are still protected: half of its patience counts as well, so that a load and the call itself fit in the rest.
-bool SidecarDecisions::Impl::starves(TimePoint since, TimePoint deadline, TimePoint now)
+/// Returns true if a call has waited for the starvation bound or for half of its time limit. The latter prevents a call
+/// with a short deadline from being refused while idle adapters are still protected from eviction.
+bool SidecarDecisions::Impl::exceedsStarvationBound(TimePoint since, TimePoint deadline, TimePoint now)
 {
     const Duration bound = std::min(starvationBound, (deadline - since) / 2);
     return now - since >= bound;
 }
 
-SlotClaim SidecarDecisions::Impl::claimFor(const Demand &demand, TimePoint now) const
+SlotClaim SidecarDecisions::Impl::makeClaim(const Demand &demand, TimePoint now) const
 {
     SlotClaim claim;
     claim.gain = demand.gain;
-    claim.urgent = demand.mostUrgent == CallClass::Urgent;
-    claim.starving = demand.waiting != 0 && starves(demand.oldest, demand.leastDeadline, now);
+    claim.isUrgent = demand.highestClass == CallClass::Urgent;
+    claim.isStarving =
+        demand.waiting != 0 && exceedsStarvationBound(demand.oldestArrival, demand.earliestDeadline, now);
     claim.slots = init_.slots;
     claim.reservedSlots = std::min(policy().reservedSlots, init_.slots - std::min(init_.slots, 1U));
     return claim;
 }
 
-bool SidecarDecisions::Impl::hasTicket(const AdapterVersion &which) const
+bool SidecarDecisions::Impl::hasPlannedLoad(const AdapterVersion &which) const
 {
-    return std::ranges::find(tickets_, which, &LoadTicket::which) != tickets_.end();
+    return std::ranges::find(plannedLoads_, which, &PlannedLoad::which) != plannedLoads_.end();
 }
 
-AdapterRecord *SidecarDecisions::Impl::victimFor(const SlotClaim &claim, TimePoint now)
+AdapterRecord *SidecarDecisions::Impl::findVictim(const SlotClaim &claim, TimePoint now)
 {
     return chooseVictim(adapters_, claim, loadTime_.at(now), evictionRules_, init_.safeguards.evictOnlyUnpinned, now);
 }
 
-bool SidecarDecisions::Impl::mayLoadByItself(TimePoint now) const
+bool SidecarDecisions::Impl::mayLoadWithoutGrant(TimePoint now) const
 {
-    const auto limit = std::max(policy().parallelLoads, 1U);
-    if (now < nextLocalLoad_ || tickets_.size() >= limit) {
+    const auto maxLoads = std::max(policy().parallelLoads, 1U);
+    if (now < nextLocalLoadAt_ || plannedLoads_.size() >= maxLoads) {
         return false;
     }
-    // A scheduler that is heard but grants nothing to calls that wait must not stop this sidecar for ever.
-    const bool forgotten = demandSince_ && now - std::max(*demandSince_, lastGrantAt_) >= grantPatience;
-    return schedulerSilent_ || forgotten || !scheduler();
+    // Prevents a live scheduler that grants nothing from blocking all loads.
+    const bool isGrantOverdue = demandSince_ && now - std::max(*demandSince_, lastGrantAt_) >= maxGrantWait;
+    return isSchedulerSuspect_ || isGrantOverdue || !scheduler();
 }
 
-void SidecarDecisions::Impl::watchScheduler(bool anyWaits, TimePoint now)
+void SidecarDecisions::Impl::checkScheduler(bool hasWaitingCalls, TimePoint now)
 {
-    if (!anyWaits) {
+    if (!hasWaitingCalls) {
         demandSince_.reset();
         return;
     }
     demandSince_ = demandSince_.value_or(now);
-    const auto place = subscribers_.find(scheduler());
-    if (place == subscribers_.end()) {
+    const auto it = subscribers_.find(scheduler());
+    if (it == subscribers_.end()) {
         return;
     }
-    // The scheduler speaks to those that have demands. With none for a while its silence says nothing, so that the
-    // time is counted from the first demand.
-    const TimePoint since = std::max(place->second.schedulerHeard, *demandSince_);
-    schedulerSilent_ = schedulerSilent_ || now - since >= init_.timing.suspect;
+    // The scheduler only sends messages to sidecars with demands, so the timeout starts at the first demand.
+    const TimePoint since = std::max(it->second.schedulerReceivedAt, *demandSince_);
+    isSchedulerSuspect_ = isSchedulerSuspect_ || now - since >= init_.timing.suspect;
 }
 
 void SidecarDecisions::Impl::clearYielding()
 {
     for (auto &[which, record] : adapters_.records()) {
-        record.yielding = false;
+        record.isYielding = false;
     }
 }
 
-void SidecarDecisions::Impl::addLocalTicket(const std::vector<Demand> &wanted, Now now)
+void SidecarDecisions::Impl::planLocalLoad(const std::vector<Demand> &demands, Now now)
 {
-    for (const auto &demand : wanted) {
-        const auto claim = claimFor(demand, now.mono);
+    for (const auto &demand : demands) {
+        const auto claim = makeClaim(demand, now.mono);
         const auto &record = adapters_.add(demand.which);
-        if (record.notBefore > now.mono || hasTicket(demand.which)) {
+        if (record.earliestLoadAt > now.mono || hasPlannedLoad(demand.which)) {
             continue;
         }
-        if (!mayTakeFreeSlot(adapters_, claim) && victimFor(claim, now.mono) == nullptr) {
+        if (!mayTakeFreeSlot(adapters_, claim) && findVictim(claim, now.mono) == nullptr) {
             continue;
         }
-        LoadTicket ticket;
-        ticket.which = demand.which;
-        ticket.claim = claim;
-        ticket.since = now.mono;
-        tickets_.push_back(std::move(ticket));
-        // Without a scheduler each sidecar takes its share of the weight store's rate, at jittered times: all of them
-        // together stay near the limit without knowing of each other.
-        const double mean = static_cast<double>(liveSidecars_) / std::max(policy().loadRate, 0.001);
-        nextLocalLoad_ = now.mono + Duration(std::llround(mean * (0.5 + random_.unit()) * 1e6));
-        return advanceTickets(now);
+        PlannedLoad plannedLoad;
+        plannedLoad.which = demand.which;
+        plannedLoad.claim = claim;
+        plannedLoad.plannedAt = now.mono;
+        plannedLoads_.push_back(std::move(plannedLoad));
+        // Without a scheduler each sidecar uses its share of the weight store's rate at jittered times, so that all
+        // together stay near the limit without coordination.
+        const double mean = static_cast<double>(liveSidecarCount_) / std::max(policy().loadRate, 0.001);
+        nextLocalLoadAt_ = now.mono + Duration(std::llround(mean * (0.5 + random_.unit()) * 1e6));
+        return advanceLoads(now);
     }
 }
 
-void SidecarDecisions::Impl::advanceTickets(Now now)
+void SidecarDecisions::Impl::advanceLoads(Now now)
 {
     auto evicting = std::ranges::count_if(
         adapters_.records(), [](const auto &entry) { return entry.second.state == ResidencyState::Evicting; });
-    for (std::size_t i = 0; i < tickets_.size();) {
-        const auto outcome = advanceTicket(tickets_[i], evicting, now);
+    for (std::size_t i = 0; i < plannedLoads_.size();) {
+        const auto outcome = advanceLoad(plannedLoads_[i], evicting, now);
         if (!outcome) {
             ++i;
             continue;
         }
-        reportGrant(tickets_[i], *outcome, now.mono);
-        tickets_.erase(tickets_.begin() + static_cast<std::ptrdiff_t>(i));
+        reportGrant(plannedLoads_[i], *outcome, now.mono);
+        plannedLoads_.erase(plannedLoads_.begin() + static_cast<std::ptrdiff_t>(i));
     }
 }
 
-std::optional<OrderOutcome> SidecarDecisions::Impl::advanceTicket(LoadTicket &ticket, std::ptrdiff_t &evicting, Now now)
+std::optional<OrderOutcome> SidecarDecisions::Impl::advanceLoad(PlannedLoad &plannedLoad, std::ptrdiff_t &evicting,
+                                                                Now now)
 {
-    if (ticket.load) {
-        return std::nullopt; // ends with its order
+    if (plannedLoad.order) {
+        return std::nullopt; // finished by its order's reply
     }
-    if (ticket.validUntil <= now.mono && init_.safeguards.grantExpiry) {
+    if (plannedLoad.validUntil <= now.mono && init_.safeguards.grantExpiry) {
         return OrderOutcome::Expired;
     }
-    if (!admitting()) {
+    if (!isAdmitting()) {
         return OrderOutcome::Expired;
     }
-    auto &record = adapters_.add(ticket.which);
+    auto &record = adapters_.add(plannedLoad.which);
     if (record.state == ResidencyState::Resident || record.state == ResidencyState::Loading) {
         return OrderOutcome::Done;
     }
     if (record.state != ResidencyState::Absent) {
-        return ticket.granted ? std::nullopt : std::optional(OrderOutcome::Expired);
+        return plannedLoad.isGranted ? std::nullopt : std::optional(OrderOutcome::Expired);
     }
-    if (mayTakeFreeSlot(adapters_, ticket.claim)) {
-        startLoad(ticket, record, now);
+    if (mayTakeFreeSlot(adapters_, plannedLoad.claim)) {
+        startLoad(plannedLoad, record, now);
         return std::nullopt;
     }
     if (evicting > 0) {
-        --evicting; // the slot that comes free is this ticket's
+        --evicting; // reserves the slot that becomes free
         return std::nullopt;
     }
-    auto *victim = victimFor(ticket.claim, now.mono);
+    auto *victim = findVictim(plannedLoad.claim, now.mono);
     if (victim == nullptr) {
-        // Not acted on. Refused is what the weight store says: the scheduler backs off on it.
+        // Expired instead of Refused: the scheduler backs off on Refused, which reports a refusal by the weight store.
         return OrderOutcome::Expired;
     }
     evict(*victim, now);
@@ -228,7 +229,7 @@
 void SidecarDecisions::Impl::evict(AdapterRecord &record, Now now)
 {
     const auto handle = openOrder(OrderKind::Unload, record.which, now);
-    if (!adapters_.beginEvict(record, handle)) {
+    if (!adapters_.beginEviction(record, handle)) {
         orders_.close(handle);
         return;
     }
@@ -236,148 +237,152 @@
     markChanged(record.which, true);
 }
 
-void SidecarDecisions::Impl::startLoad(LoadTicket &ticket, AdapterRecord &record, Now now)
+void SidecarDecisions::Impl::startLoad(PlannedLoad &plannedLoad, AdapterRecord &record, Now now)
 {
-    ticket.load = openOrder(OrderKind::Load, record.which, now);
-    adapters_.beginLoad(record, ticket.load);
+    plannedLoad.order = openOrder(OrderKind::Load, record.which, now);
+    adapters_.beginLoad(record, plannedLoad.order);
     record.lastUsed = now.mono;
-    emitOrder(ticket.load, OrderKind::Load, record.which);
+    emitOrder(plannedLoad.order, OrderKind::Load, record.which);
     markChanged(record.which, true);
 }
 
-void SidecarDecisions::Impl::endTicket(const AdapterVersion &which, OrderOutcome outcome, Now now)
+void SidecarDecisions::Impl::finishLoad(const AdapterVersion &which, OrderOutcome outcome, Now now)
 {
-    const auto place = std::ranges::find(tickets_, which, &LoadTicket::which);
-    if (place == tickets_.end() || !place->load) {
+    const auto it = std::ranges::find(plannedLoads_, which, &PlannedLoad::which);
+    if (it == plannedLoads_.end() || !it->order) {
         return;
     }
-    const LoadTicket ticket = std::move(*place);
-    tickets_.erase(place);
-    reportGrant(ticket, outcome, now.mono);
+    const PlannedLoad plannedLoad = std::move(*it);
+    plannedLoads_.erase(it);
+    reportGrant(plannedLoad, outcome, now.mono);
 }
 
-void SidecarDecisions::Impl::reportGrant(const LoadTicket &ticket, OrderOutcome outcome, TimePoint now)
+void SidecarDecisions::Impl::reportGrant(const PlannedLoad &plannedLoad, OrderOutcome outcome, TimePoint now)
 {
-    if (!ticket.granted) {
+    if (!plannedLoad.isGranted) {
         return;
     }
     wire::Envelope message;
     auto &result = *message.mutable_load_result();
-    result.set_fence(ticket.fence);
-    result.set_grant(ticket.grant);
-    result.set_adapter(ticket.which.adapter);
-    result.set_version(ticket.which.version);
+    result.set_fence(plannedLoad.fence);
+    result.set_grant(plannedLoad.grant);
+    result.set_adapter(plannedLoad.which.adapter);
+    result.set_version(plannedLoad.which.version);
     result.set_outcome(static_cast<std::uint32_t>(outcome));
-    result.set_took_us(static_cast<std::uint64_t>((now - ticket.since).count()));
+    result.set_took_us(static_cast<std::uint64_t>((now - plannedLoad.plannedAt).count()));
     result.mutable_from()->set_name(init_.name);
     result.mutable_from()->set_incarnation(init_.incarnation);
-    send(ticket.scheduler, std::move(message));
+    send(plannedLoad.scheduler, std::move(message));
 }
 
 void SidecarDecisions::Impl::onLoadFailed(AdapterRecord &record, OrderOutcome outcome, Now now)
 {
     if (outcome != OrderOutcome::Failed) {
-        // Refused before any effect, as by a weight store over its rate: no fault of this version. All loads that this
-        // sidecar decides on by itself pause.
-        record.notBefore = now.mono + random_.jitter(2 * firstBackoff);
-        nextLocalLoad_ = std::max(nextLocalLoad_, record.notBefore);
+        // Refused without any effect, for example because the weight store is over its rate. Not a failure of this
+        // version, but all loads without a grant are delayed.
+        record.earliestLoadAt = now.mono + random_.jitter(2 * minBackoff);
+        nextLocalLoadAt_ = std::max(nextLocalLoadAt_, record.earliestLoadAt);
         return;
     }
-    ++record.failures;
-    if (record.failures < failuresToQuarantine) {
-        const Duration backoff = doubled(firstBackoff, record.failures - 1, longestBackoff);
-        record.notBefore = now.mono + backoff / 2 + random_.jitter(backoff);
-        const auto trial = record.notBefore + loadTime_.at(now.mono);
-        refuseWaiting({RefusalReason::AdapterUnavailable, true, record.notBefore - now.mono},
-                      [&](const WaitingCall &call) { return call.which == record.which && call.deadline <= trial; });
+    ++record.loadFailures;
+    if (record.loadFailures < quarantineThreshold) {
+        const Duration backoff = exponentialDelay(minBackoff, record.loadFailures - 1, maxBackoff);
+        record.earliestLoadAt = now.mono + backoff / 2 + random_.jitter(backoff);
+        const auto nextAttemptAt = record.earliestLoadAt + loadTime_.at(now.mono);
+        refuseWaiting(
+            {RefusalReason::AdapterUnavailable, true, record.earliestLoadAt - now.mono},
+            [&](const WaitingCall &call) { return call.which == record.which && call.deadline <= nextAttemptAt; });
         return;
     }
-    // A version that keeps failing would take a share of the weight store's rate for ever. Its callers are told at
-    // once; after the quarantine one load is tried again.
-    const Duration span = doubled(firstQuarantine, record.failures - failuresToQuarantine, longestQuarantine);
-    record.notBefore = now.mono + span;
-    stats_.quarantines += static_cast<std::uint64_t>(!record.quarantined);
-    record.quarantined = true;
-    refuseWaiting({RefusalReason::AdapterQuarantined, true, span},
+    // Prevents a version that keeps failing from using up the weight store's rate. Its callers are refused at once, and
+    // one load is attempted after the quarantine.
+    const Duration quarantine =
+        exponentialDelay(minQuarantine, record.loadFailures - quarantineThreshold, maxQuarantine);
+    record.earliestLoadAt = now.mono + quarantine;
+    stats_.quarantines += static_cast<std::uint64_t>(!record.isQuarantined);
+    record.isQuarantined = true;
+    refuseWaiting({RefusalReason::AdapterQuarantined, true, quarantine},
                   [&](const WaitingCall &call) { return call.which == record.which; });
 }
 
 void SidecarDecisions::Impl::onGrant(PeerHandle from, const wire::LoadGrant &grant, Now now)
 {
-    const std::pair number{grant.fence(), grant.grant()};
-    if (std::ranges::find(grantsSeen_, number) != grantsSeen_.end()) {
+    const std::pair grantId{grant.fence(), grant.grant()};
+    if (std::ranges::find(recentGrants_, grantId) != recentGrants_.end()) {
         ++stats_.droppedMessages;
         return;
     }
-    grantsSeen_.push_back(number);
-    if (grantsSeen_.size() > grantsRemembered) {
-        grantsSeen_.erase(grantsSeen_.begin());
-    }
-    LoadTicket ticket;
-    ticket.which = {grant.adapter(), grant.version()};
-    ticket.granted = true;
-    ticket.scheduler = from;
-    ticket.fence = grant.fence();
-    ticket.grant = grant.grant();
-    ticket.since = now.mono;
-    constexpr std::uint64_t longestValidity = 3'600'000'000ULL;
-    ticket.validUntil = now.mono + Duration(std::min(grant.valid_us(), longestValidity));
+    recentGrants_.push_back(grantId);
+    if (recentGrants_.size() > maxRecentGrants) {
+        recentGrants_.erase(recentGrants_.begin());
+    }
+    PlannedLoad plannedLoad;
+    plannedLoad.which = {grant.adapter(), grant.version()};
+    plannedLoad.isGranted = true;
+    plannedLoad.scheduler = from;
+    plannedLoad.fence = grant.fence();
+    plannedLoad.grant = grant.grant();
+    plannedLoad.plannedAt = now.mono;
+    constexpr std::uint64_t maxValidityUs = 3'600'000'000ULL;
+    plannedLoad.validUntil = now.mono + Duration(std::min(grant.valid_us(), maxValidityUs));
     const auto refusal = checkGrant(grant);
     if (refusal) {
-        return reportGrant(ticket, *refusal, now.mono);
+        return reportGrant(plannedLoad, *refusal, now.mono);
     }
-    hearScheduler(from, grant.fence(), now.mono);
+    onSchedulerMessage(from, grant.fence(), now.mono);
     lastGrantAt_ = now.mono;
-    const auto wanted = demands(now.mono);
-    const auto place = std::ranges::find(wanted, ticket.which, &Demand::which);
-    ticket.claim = claimFor(place == wanted.end() ? Demand{} : *place, now.mono);
-    ticket.claim.granted = true;
-    tickets_.push_back(std::move(ticket));
+    const auto demands = collectDemands(now.mono);
+    const auto it = std::ranges::find(demands, plannedLoad.which, &Demand::which);
+    plannedLoad.claim = makeClaim(it == demands.end() ? Demand{} : *it, now.mono);
+    plannedLoad.claim.isGranted = true;
+    plannedLoads_.push_back(std::move(plannedLoad));
 }
 
 std::optional<OrderOutcome> SidecarDecisions::Impl::checkGrant(const wire::LoadGrant &grant) const
 {
-    // Expired: not acted on. Refused is what the weight store says, and makes the scheduler hold all grants back.
+    // An ignored grant ends as Expired. Refused would report a refusal by the weight store and make the scheduler
+    // withhold all grants.
     const auto &safeguards = init_.safeguards;
     if (safeguards.grantTarget && grant.target_incarnation() != init_.incarnation) {
         return OrderOutcome::Expired;
     }
-    // A scheduler that was paused past its lease may still send. Its successor's number is larger and was seen here,
-    // or it has not acted yet and the older grant does no harm.
+    // Prevents grants from a scheduler that was paused past its lease. If its successor's larger number has not been
+    // received here, the successor has not granted any loads and the older grant is harmless.
     if (safeguards.fenceCheck && grant.fence() < highestGrantFence_) {
         return OrderOutcome::FencedOff;
     }
-    if (!admitting() || grant.adapter().empty() || hasTicket({grant.adapter(), grant.version()})) {
+    if (!isAdmitting() || grant.adapter().empty() || hasPlannedLoad({grant.adapter(), grant.version()})) {
         return OrderOutcome::Expired;
     }
     return std::nullopt;
 }
 
-void SidecarDecisions::Impl::chooseYielding(const std::vector<Demand> &wanted, Now now)
+void SidecarDecisions::Impl::chooseYieldingAdapter(const std::vector<Demand> &demands, Now now)
 {
-    const auto starving = std::ranges::find_if(wanted, [&](const Demand &demand) {
-        return claimFor(demand, now.mono).starving && adapters_.add(demand.which).notBefore <= now.mono;
+    const auto starvingDemand = std::ranges::find_if(demands, [&](const Demand &demand) {
+        return makeClaim(demand, now.mono).isStarving && adapters_.add(demand.which).earliestLoadAt <= now.mono;
     });
-    const bool waits = starving != wanted.end() && !mayTakeFreeSlot(adapters_, claimFor(*starving, now.mono))
-                       && victimFor(claimFor(*starving, now.mono), now.mono) == nullptr;
-    AdapterRecord *chosen = nullptr;
+    const bool isSlotNeeded = starvingDemand != demands.end()
+                              && !mayTakeFreeSlot(adapters_, makeClaim(*starvingDemand, now.mono))
+                              && findVictim(makeClaim(*starvingDemand, now.mono), now.mono) == nullptr;
+    AdapterRecord *candidate = nullptr;
     for (auto &[which, record] : adapters_.records()) {
-        if (record.yielding && waits && record.state == ResidencyState::Resident) {
-            return; // one at a time
+        if (record.isYielding && isSlotNeeded && record.state == ResidencyState::Resident) {
+            return; // at most one adapter yields at a time
         }
-        record.yielding = record.yielding && starving != wanted.end();
+        record.isYielding = record.isYielding && starvingDemand != demands.end();
         if (record.state != ResidencyState::Resident) {
             continue;
         }
-        const auto worth = [&](const AdapterRecord &r) {
-            return keepValue(r, loadTime_.at(now.mono), evictionRules_, now.mono);
+        const auto valueOf = [&](const AdapterRecord &r) {
+            return retentionValue(r, loadTime_.at(now.mono), evictionRules_, now.mono);
         };
-        if (chosen == nullptr || worth(record) < worth(*chosen)) {
-            chosen = &record;
+        if (candidate == nullptr || valueOf(record) < valueOf(*candidate)) {
+            candidate = &record;
         }
     }
-    if (waits && chosen != nullptr) {
-        chosen->yielding = true;
+    if (isSlotNeeded && candidate != nullptr) {
+        candidate->isYielding = true;
     }
 }
 
--- a/src/residency/sidecar_orders.cpp
+++ b/src/residency/sidecar_orders.cpp
@@ -1,4 +1,4 @@
-// The engine: orders, their replies, its list, its restarts.
+// Engine orders and their replies, engine lists and engine restarts.
 #include "sidecar.h"
 
 #include <algorithm>
@@ -8,14 +8,14 @@
 namespace {
 
 constexpr Duration listTimeout = Seconds(5);
-constexpr Duration replySlack = Seconds(1); // after an order's own timeout the reply counts as lost
+constexpr Duration replyGrace = Seconds(1); // added to an order's timeout before its reply counts as lost
 constexpr Duration retryDelay = Seconds(1);
-constexpr Duration pollDelay = Seconds(1);
-constexpr Duration busyPollDelay = Seconds(5);
-// A call that was sent just before its connection broke may not be running yet when a list is read at once.
-constexpr Duration settleDelay = Milliseconds(500);
+constexpr Duration pollInterval = Seconds(1);
+constexpr Duration busyPollInterval = Seconds(5);
+// Minimum delay of a list after a broken connection: a call sent just before may not be running yet.
+constexpr Duration minListDelay = Milliseconds(500);
 
-std::uint32_t runningOf(const EngineList &list, const AdapterVersion &which)
+std::uint32_t countRunningCalls(const EngineList &list, const AdapterVersion &which)
 {
     std::uint32_t count = 0;
     for (const auto &[adapter, running] : list.running) {
@@ -42,67 +42,67 @@
 
 OrderHandle SidecarDecisions::Impl::openOrder(OrderKind kind, const AdapterVersion &which, Now now)
 {
-    const Duration patience = kind == OrderKind::List ? listTimeout : init_.orderTimeout;
-    return orders_.open(kind, which, now.mono, patience + replySlack);
+    const Duration timeout = kind == OrderKind::List ? listTimeout : init_.orderTimeout;
+    return orders_.open(kind, which, now.mono, timeout + replyGrace);
 }
 
 void SidecarDecisions::Impl::pollEngine(Now now)
 {
-    while (const auto *overdue = orders_.overdue(now.mono)) {
+    while (const auto *overdue = orders_.findOverdue(now.mono)) {
         onOrderDone(overdue->handle, OrderOutcome::Unknown, now);
     }
-    const auto due = listDue();
+    const auto due = nextListAt();
     if (!due || *due > now.mono) {
         return;
     }
-    const OrderKind kind = recovery_.wanted().value_or(OrderKind::List);
+    const OrderKind kind = recovery_.requiredOrder().value_or(OrderKind::List);
     if (kind == OrderKind::List) {
         lastListAt_ = now.mono;
     }
     emitOrder(openOrder(kind, {}, now), kind, {});
 }
 
-std::optional<TimePoint> SidecarDecisions::Impl::listDue() const
+std::optional<TimePoint> SidecarDecisions::Impl::nextListAt() const
 {
     if (!isEngine() || orders_.has(OrderKind::List) || orders_.has(OrderKind::Fence)) {
         return std::nullopt;
     }
-    if (!recovery_.done()) {
-        return recovery_.wanted() ? std::optional(retryOrderAt_) : std::nullopt;
+    if (!recovery_.isDone()) {
+        return recovery_.requiredOrder() ? std::optional(nextOrderAt_) : std::nullopt;
     }
     std::optional<TimePoint> due;
-    const auto wantAt = [&due](TimePoint at) { due = due ? std::min(*due, at) : at; };
-    if (!endpointUp_) {
-        wantAt(lastListAt_ + retryDelay);
+    const auto addDue = [&due](TimePoint at) { due = due ? std::min(*due, at) : at; };
+    if (!isEndpointUp_) {
+        addDue(lastListAt_ + retryDelay);
     }
     for (const auto &[which, record] : adapters_.records()) {
-        if (record.lingering != 0) {
-            const Duration delay = record.pins != 0 ? busyPollDelay : pollDelay;
-            const TimePoint settled = record.lingeringFrom + settleDelay;
-            wantAt(lastListAt_ < settled ? settled : lastListAt_ + delay);
+        if (record.orphanedCalls != 0) {
+            const Duration delay = record.pins != 0 ? busyPollInterval : pollInterval;
+            const TimePoint earliestListAt = record.orphanedAt + minListDelay;
+            addDue(lastListAt_ < earliestListAt ? earliestListAt : lastListAt_ + delay);
         }
         if (record.state == ResidencyState::Unknown) {
-            wantAt(lastListAt_ + pollDelay);
+            addDue(lastListAt_ + pollInterval);
         }
     }
-    return due ? std::optional(std::max(*due, retryOrderAt_)) : due;
+    return due ? std::optional(std::max(*due, nextOrderAt_)) : due;
 }
 
 void SidecarDecisions::Impl::onOrderDone(OrderHandle handle, OrderOutcome outcome, Now now)
 {
-    const auto order = orders_.closeUnlessAnswered(handle, outcome);
+    const auto order = orders_.closeUnlessListPending(handle, outcome);
     if (!order) {
         return;
     }
     if (order->kind == OrderKind::List) {
-        retryOrderAt_ = now.mono + random_.jitter(retryDelay);
+        nextOrderAt_ = now.mono + random_.jitter(retryDelay);
         return;
     }
     stats_.orders.add(outcome);
     if (order->kind == OrderKind::Fence) {
         recovery_.onFence(outcome);
-        listMark_ = orders_.lastNumber();
-        retryOrderAt_ = outcome == OrderOutcome::Done ? now.mono : now.mono + random_.jitter(retryDelay);
+        phaseOrderNumber_ = orders_.lastNumber();
+        nextOrderAt_ = outcome == OrderOutcome::Done ? now.mono : now.mono + random_.jitter(retryDelay);
         return;
     }
     auto *record = adapters_.find(order->which);
@@ -116,69 +116,69 @@
     }
     markChanged(order->which, true);
     if (outcome == OrderOutcome::FencedOff) {
-        // Someone with a larger fencing number gives this endpoint orders: this process must not.
+        // Another process with a larger fencing number controls this endpoint.
         drain(now);
     }
 }
 
 void SidecarDecisions::Impl::onLoadDone(AdapterRecord &record, const OpenOrder &order, OrderOutcome outcome, Now now)
 {
-    const auto mark = orders_.lastNumber();
+    const auto orderNumber = orders_.lastNumber();
     switch (outcome) {
     case OrderOutcome::Done:
-        countLoad(record, now.mono - order.sentAt, now.mono);
-        adapters_.settle(record, ResidencyState::Resident, mark, now.mono);
+        recordLoad(record, now.mono - order.sentAt, now.mono);
+        adapters_.setState(record, ResidencyState::Resident, orderNumber, now.mono);
         break;
     case OrderOutcome::Unknown:
-        loseOrder(record, order, now);
+        markOrderLost(record, order, now);
         break;
     default:
-        adapters_.settle(record, ResidencyState::Absent, mark, now.mono);
+        adapters_.setState(record, ResidencyState::Absent, orderNumber, now.mono);
         onLoadFailed(record, outcome, now);
     }
-    endTicket(order.which, outcome, now);
+    finishLoad(order.which, outcome, now);
 }
 
-void SidecarDecisions::Impl::countLoad(AdapterRecord &record, Duration took, TimePoint now)
+void SidecarDecisions::Impl::recordLoad(AdapterRecord &record, Duration duration, TimePoint now)
 {
-    loadTime_.add(took, now);
+    loadTime_.add(duration, now);
     ++stats_.loads;
     if (record.wasResident) {
         ++stats_.reloads;
-        record.reloads.add(now, evictionRules_.reloadMemory);
+        record.reloads.add(now, evictionRules_.reloadTimeConstant);
     }
-    record.failures = 0;
-    record.quarantined = false;
+    record.loadFailures = 0;
+    record.isQuarantined = false;
 }
 
 void SidecarDecisions::Impl::onUnloadDone(AdapterRecord &record, const OpenOrder &order, OrderOutcome outcome, Now now)
 {
-    const auto mark = orders_.lastNumber();
+    const auto orderNumber = orders_.lastNumber();
     switch (outcome) {
     case OrderOutcome::Done:
         ++stats_.evictions;
-        record.yielding = false;
-        adapters_.settle(record, ResidencyState::Absent, mark, now.mono);
+        record.isYielding = false;
+        adapters_.setState(record, ResidencyState::Absent, orderNumber, now.mono);
         break;
     case OrderOutcome::Unknown:
-        loseOrder(record, order, now);
+        markOrderLost(record, order, now);
         break;
     case OrderOutcome::Failed:
-        adapters_.lose(record, OrderKind::List, now.mono, mark);
+        adapters_.setUnknown(record, OrderKind::List, now.mono, orderNumber);
         break;
     default:
-        adapters_.settle(record, ResidencyState::Resident, mark, now.mono);
+        adapters_.setState(record, ResidencyState::Resident, orderNumber, now.mono);
     }
 }
 
-void SidecarDecisions::Impl::loseOrder(AdapterRecord &record, const OpenOrder &order, Now now)
+void SidecarDecisions::Impl::markOrderLost(AdapterRecord &record, const OpenOrder &order, Now now)
 {
     if (!init_.safeguards.unknownAfterLostReply) {
-        return adapters_.settle(record, ResidencyState::Absent, orders_.lastNumber(), now.mono);
+        return adapters_.setState(record, ResidencyState::Absent, orders_.lastNumber(), now.mono);
     }
-    // The order may still be on its way, or be carried out without our hearing of it. A list that shows its effect
-    // settles it at once; one that does not show it settles it only if asked for after the order's longest time.
-    adapters_.lose(record, order.kind, order.sentAt + init_.orderTimeout, orders_.lastNumber());
+    // The order may still be in transit or be executed without a reply. A list that shows its effect resolves it; a
+    // list that does not show it resolves it only if requested after the maximum duration of the order.
+    adapters_.setUnknown(record, order.kind, order.sentAt + init_.orderTimeout, orders_.lastNumber());
 }
 
 void SidecarDecisions::Impl::onEngineList(OrderHandle handle, const EngineList &list, Now now)
@@ -187,26 +187,26 @@
     if (!order) {
         return;
     }
-    endpointUp_ = true;
-    const bool askedSince = handle.value > listMark_;
-    if (!onIncarnation(list.incarnation, handle.value > incarnationMark_, now)) {
-        return; // made by an engine process that is gone
+    isEndpointUp_ = true;
+    const bool isRequestedInPhase = handle.value > phaseOrderNumber_;
+    if (!onIncarnation(list.incarnation, handle.value > incarnationOrderNumber_, now)) {
+        return; // created by an earlier engine process
     }
-    const auto phase = recovery_.phase();
-    const bool first = recovery_.onList(list, askedSince && handle.value > listMark_);
-    if (recovery_.phase() != phase) {
-        listMark_ = orders_.lastNumber();
-        retryOrderAt_ = now.mono;
+    const auto previousPhase = recovery_.phase();
+    const bool endsRecovery = recovery_.onList(list, isRequestedInPhase && handle.value > phaseOrderNumber_);
+    if (recovery_.phase() != previousPhase) {
+        phaseOrderNumber_ = orders_.lastNumber();
+        nextOrderAt_ = now.mono;
     }
-    if (first) {
-        heartbeatAtOnce_ = true;
+    if (endsRecovery) {
+        isHeartbeatUrgent_ = true;
     }
-    if (recovery_.done()) {
-        adoptList(*order, list, first, now);
+    if (recovery_.isDone()) {
+        applyList(*order, list, endsRecovery, now);
     }
 }
 
-void SidecarDecisions::Impl::adoptList(const OpenOrder &order, const EngineList &list, bool first, Now now)
+void SidecarDecisions::Impl::applyList(const OpenOrder &order, const EngineList &list, bool endsRecovery, Now now)
 {
     const std::set<AdapterVersion> loaded(list.loaded.begin(), list.loaded.end());
     for (const auto &which : loaded) {
@@ -215,87 +215,90 @@
         }
     }
     for (auto &[which, record] : adapters_.records()) {
-        const auto before = record.state;
-        const auto runs = runningOf(list, which);
-        releaseLingering(record, order, runs);
-        const bool askedSince = order.handle.value > record.changeMark || !init_.safeguards.listAfterChange;
-        if (askedSince) {
-            settleByList(record, order, loaded.contains(which), now);
+        const auto previousState = record.state;
+        const auto runningCalls = countRunningCalls(list, which);
+        releaseOrphans(record, order, runningCalls);
+        const bool isRequestedAfterChange =
+            order.handle.value > record.changeOrderNumber || !init_.safeguards.listAfterChange;
+        if (isRequestedAfterChange) {
+            resolveFromList(record, order, loaded.contains(which), now);
         }
-        if (before != ResidencyState::Resident && record.state == ResidencyState::Resident) {
-            inheritRuns(record, order, runs, first);
+        if (previousState != ResidencyState::Resident && record.state == ResidencyState::Resident) {
+            adoptOrphans(record, order, runningCalls, endsRecovery);
         }
-        if (before != record.state) {
+        if (previousState != record.state) {
             markChanged(which, true);
         }
     }
 }
 
-void SidecarDecisions::Impl::releaseLingering(AdapterRecord &record, const OpenOrder &order, std::uint32_t runs)
+void SidecarDecisions::Impl::releaseOrphans(AdapterRecord &record, const OpenOrder &order, std::uint32_t runningCalls)
 {
-    const bool askedSince =
-        order.handle.value > record.lingeringMark && order.sentAt >= record.lingeringFrom + settleDelay;
-    const bool counts = askedSince || !init_.safeguards.listAfterChange;
-    if (record.lingering != 0 && counts && runs == 0) {
-        record.lingering = 0;
+    const bool isRequestedAfterOrphan =
+        order.handle.value > record.orphanOrderNumber && order.sentAt >= record.orphanedAt + minListDelay;
+    const bool isConclusive = isRequestedAfterOrphan || !init_.safeguards.listAfterChange;
+    if (record.orphanedCalls != 0 && isConclusive && runningCalls == 0) {
+        record.orphanedCalls = 0;
         markChanged(record.which, false);
     }
 }
 
-void SidecarDecisions::Impl::inheritRuns(AdapterRecord &record, const OpenOrder &order, std::uint32_t runs, bool first)
+void SidecarDecisions::Impl::adoptOrphans(AdapterRecord &record, const OpenOrder &order, std::uint32_t runningCalls,
+                                          bool endsRecovery)
 {
     if (!init_.safeguards.recoveryWait) {
         return;
     }
-    // Calls of a predecessor, or of the time before a restart was noticed, that we do not count. A list asked for very
-    // early may miss one that was still on its way to the engine; one more list is asked for then.
-    const bool early = first && order.sentAt < takeOverAt_ + settleDelay;
-    record.lingering = std::max(runs, static_cast<std::uint32_t>(early));
-    record.lingeringMark = order.handle.value;
-    record.lingeringFrom = early ? takeOverAt_ : order.sentAt;
+    // Calls that were started by a predecessor or before a restart was detected are not tracked here. An early list may
+    // miss a call in transit to the engine, so another list is requested.
+    const bool isEarly = endsRecovery && order.sentAt < engineAdoptedAt_ + minListDelay;
+    record.orphanedCalls = std::max(runningCalls, static_cast<std::uint32_t>(isEarly));
+    record.orphanOrderNumber = order.handle.value;
+    record.orphanedAt = isEarly ? engineAdoptedAt_ : order.sentAt;
 }
 
-void SidecarDecisions::Impl::settleByList(AdapterRecord &record, const OpenOrder &order, bool loaded, Now now)
+void SidecarDecisions::Impl::resolveFromList(AdapterRecord &record, const OpenOrder &order, bool isLoaded, Now now)
 {
-    const auto mark = orders_.lastNumber();
-    const bool effectOver = order.sentAt >= record.effectUntil;
-    const bool byUnload = record.lostOrder == OrderKind::Unload && record.effectShows && engineIncarnation_ != 0;
-    const bool goneIsProof = record.lostOrder == OrderKind::List || byUnload;
+    const auto orderNumber = orders_.lastNumber();
+    const bool isEffectDeadlinePassed = order.sentAt >= record.effectDeadline;
+    const bool isUnloadObservable =
+        record.lostOrder == OrderKind::Unload && record.isEffectObservable && engineIncarnation_ != 0;
+    const bool isAbsenceProof = record.lostOrder == OrderKind::List || isUnloadObservable;
     switch (record.state) {
     case ResidencyState::Absent:
-        if (loaded) {
-            adapters_.settle(record, ResidencyState::Resident, mark, now.mono);
+        if (isLoaded) {
+            adapters_.setState(record, ResidencyState::Resident, orderNumber, now.mono);
         }
         return;
     case ResidencyState::Resident:
-        if (!loaded && record.mayRun()) {
-            adapters_.lose(record, OrderKind::List, now.mono, mark);
-        } else if (!loaded) {
-            adapters_.settle(record, ResidencyState::Absent, mark, now.mono);
+        if (!isLoaded && record.mayHaveRunningCalls()) {
+            adapters_.setUnknown(record, OrderKind::List, now.mono, orderNumber);
+        } else if (!isLoaded) {
+            adapters_.setState(record, ResidencyState::Absent, orderNumber, now.mono);
         }
         return;
     case ResidencyState::Unknown:
-        // What the lost order wanted is there: it has taken effect and can't do so again.
-        if (loaded && (record.lostOrder != OrderKind::Unload || effectOver)) {
-            adapters_.settle(record, ResidencyState::Resident, mark, now.mono);
-        } else if (!loaded && (goneIsProof || effectOver) && record.pins == 0) {
-            adapters_.settle(record, ResidencyState::Absent, mark, now.mono);
+        // The effect of the lost order is visible: it was executed and can't take effect again.
+        if (isLoaded && (record.lostOrder != OrderKind::Unload || isEffectDeadlinePassed)) {
+            adapters_.setState(record, ResidencyState::Resident, orderNumber, now.mono);
+        } else if (!isLoaded && (isAbsenceProof || isEffectDeadlinePassed) && record.pins == 0) {
+            adapters_.setState(record, ResidencyState::Absent, orderNumber, now.mono);
         }
         return;
     default:
-        return; // Loading and Evicting are settled by their order's reply
+        return; // Loading and Evicting are resolved by the reply of their order
     }
 }
 
 void SidecarDecisions::Impl::onEngineReport(const EngineReport &report, Now now)
 {
-    constexpr std::size_t prefixesKept = 32;
+    constexpr std::size_t maxPrefixes = 32;
     if (!onIncarnation(report.incarnation, false, now)) {
         return;
     }
     stepFillPermille_ = report.stepFillPermille;
     for (const auto prefix : report.prefixes) {
-        if (prefixes_.size() < prefixesKept) {
+        if (prefixes_.size() < maxPrefixes) {
             prefixes_.push_back(prefix);
         }
     }
@@ -303,46 +306,46 @@
 
 void SidecarDecisions::Impl::onEngineLost(Now now)
 {
-    if (!endpointUp_) {
+    if (!isEndpointUp_) {
         return;
     }
-    endpointUp_ = false;
-    heartbeatAtOnce_ = true;
-    downUntil_ = now.mono + random_.jitter(retryDelay);
-    retryOrderAt_ = std::max(retryOrderAt_, downUntil_);
+    isEndpointUp_ = false;
+    isHeartbeatUrgent_ = true;
+    endpointRetryAt_ = now.mono + random_.jitter(retryDelay);
+    nextOrderAt_ = std::max(nextOrderAt_, endpointRetryAt_);
     refuseWaiting({RefusalReason::EndpointDown, true, random_.jitter(retryDelay)},
                   [](const WaitingCall &) { return true; });
 }
 
-bool SidecarDecisions::Impl::onIncarnation(std::uint64_t incarnation, bool askedSince, Now now)
+bool SidecarDecisions::Impl::onIncarnation(std::uint64_t incarnation, bool isRequestedInIncarnation, Now now)
 {
     if (incarnation == 0 || incarnation == engineIncarnation_) {
         return true;
     }
-    // Reports come late, so that one with a smaller number is an old one. A list that was asked for after the present
-    // incarnation was known can't be: there a smaller number means that the engine's clock was set back.
-    if (incarnation < engineIncarnation_ && !askedSince) {
+    // Reports may be delayed, so a smaller number is an old one. A list requested after the current incarnation was
+    // learned can't be old: there a smaller number means that the engine's clock was set back.
+    if (incarnation < engineIncarnation_ && !isRequestedInIncarnation) {
         return false;
     }
-    const bool restarted = engineIncarnation_ != 0;
+    const bool hasRestarted = engineIncarnation_ != 0;
     engineIncarnation_ = incarnation;
-    incarnationMark_ = orders_.lastNumber();
-    if (restarted) {
-        engineRestarted(now);
+    incarnationOrderNumber_ = orders_.lastNumber();
+    if (hasRestarted) {
+        handleEngineRestart(now);
     }
     return true;
 }
 
-void SidecarDecisions::Impl::engineRestarted(Now now)
+void SidecarDecisions::Impl::handleEngineRestart(Now now)
 {
     ++stats_.engineRestarts;
-    heartbeatAtOnce_ = true;
-    takeOverAt_ = now.mono;
-    const auto mark = orders_.lastNumber();
+    isHeartbeatUrgent_ = true;
+    engineAdoptedAt_ = now.mono;
+    const auto orderNumber = orders_.lastNumber();
     for (auto &[handle, execution] : executions_.all()) {
-        execution.pinned = false;
-        execution.obsolete = true;
-        if (!execution.cancelling) {
+        execution.isPinned = false;
+        execution.isObsolete = true;
+        if (!execution.isCancelling) {
             cancel(execution, FailureReason::EndpointRestarted);
         }
     }
@@ -351,30 +354,30 @@
             continue;
         }
         record.pins = 0;
-        record.lingering = 0;
-        record.yielding = false;
+        record.orphanedCalls = 0;
+        record.isYielding = false;
         markChanged(which, true);
-        // An order in flight may have been given to the new engine process, before we heard of it.
+        // An order in flight may have been sent to the new engine process before the restart was detected.
         if (const auto order = orders_.close(record.order)) {
-            adapters_.lose(record, order->kind, order->sentAt + init_.orderTimeout, mark);
+            adapters_.setUnknown(record, order->kind, order->sentAt + init_.orderTimeout, orderNumber);
         } else if (record.state != ResidencyState::Unknown) {
-            adapters_.lose(record, OrderKind::List, now.mono, mark);
+            adapters_.setUnknown(record, OrderKind::List, now.mono, orderNumber);
         }
-        record.changeMark = mark;
-        record.effectShows = record.lostOrder != OrderKind::Unload;
+        record.changeOrderNumber = orderNumber;
+        record.isEffectObservable = record.lostOrder != OrderKind::Unload;
     }
-    std::vector<AdapterVersion> loading;
-    for (const auto &ticket : tickets_) {
-        if (ticket.load) {
-            loading.push_back(ticket.which);
+    std::vector<AdapterVersion> loadingAdapters;
+    for (const auto &plannedLoad : plannedLoads_) {
+        if (plannedLoad.order) {
+            loadingAdapters.push_back(plannedLoad.which);
         }
     }
-    for (const auto &which : loading) {
-        endTicket(which, OrderOutcome::Unknown, now);
+    for (const auto &which : loadingAdapters) {
+        finishLoad(which, OrderOutcome::Unknown, now);
     }
     recovery_.onEngineRestarted();
-    listMark_ = mark;
-    retryOrderAt_ = now.mono;
+    phaseOrderNumber_ = orderNumber;
+    nextOrderAt_ = now.mono;
 }
 
 } // namespace anvilscale
--- a/src/residency/sidecar_peers.cpp
+++ b/src/residency/sidecar_peers.cpp
@@ -1,4 +1,4 @@
-// Messages from other processes and who is there.
+// Messages from other processes, and membership.
 #include "sidecar.h"
 
 #include <algorithm>
@@ -30,12 +30,12 @@
         return;
     }
     case wire::Envelope::kSlotHandover:
-        if (auto *guard = guardOf(message.slot_handover().service())) {
+        if (auto *guard = findGuard(message.slot_handover().service())) {
             guard->owner().onHandover(message.slot_handover(), now);
         }
         return;
     case wire::Envelope::kSlotHandoverAck:
-        if (auto *guard = guardOf(message.slot_handover_ack().service())) {
+        if (auto *guard = findGuard(message.slot_handover_ack().service())) {
             guard->owner().onHandoverAck(message.slot_handover_ack(), now);
         }
         return;
@@ -46,45 +46,45 @@
 
 void SidecarDecisions::Impl::onHello(PeerHandle from, const wire::Hello &hello, Now now)
 {
-    auto [place, isNew] = subscribers_.try_emplace(from);
-    auto &subscriber = place->second;
+    auto [it, isNew] = subscribers_.try_emplace(from);
+    auto &subscriber = it->second;
     subscriber.name = hello.from().name();
-    subscriber.wantsFull = subscriber.wantsFull || isNew || hello.want_full();
+    subscriber.needsFullState = subscriber.needsFullState || isNew || hello.want_full();
     if (hello.scheduler()) {
-        hearScheduler(from, hello.scheduler_fence(), now.mono);
+        onSchedulerMessage(from, hello.scheduler_fence(), now.mono);
     }
 }
 
 void SidecarDecisions::Impl::onPeerLost(PeerHandle peer, Now now)
 {
     subscribers_.erase(peer);
-    std::erase_if(held_, [&](const HeldCall &held) {
+    std::erase_if(heldCalls_, [&](const HeldCall &held) {
         if (held.from == peer) {
-            ended_.add(AttemptKey::of(held.request.id()));
+            endedAttempts_.add(AttemptKey::fromWire(held.request.id()));
         }
         return held.from == peer;
     });
-    std::vector<AttemptKey> waiting;
+    std::vector<AttemptKey> waitingAttempts;
     for (const auto &call : queue_.calls()) {
         for (const auto &listener : call.listeners) {
             if (listener.peer == peer) {
-                waiting.push_back(listener.attempt);
+                waitingAttempts.push_back(listener.attempt);
             }
         }
     }
-    std::vector<AttemptKey> running;
+    std::vector<AttemptKey> runningAttempts;
     for (const auto &[handle, execution] : executions_.all()) {
         for (const auto &listener : execution.listeners) {
             if (listener.peer == peer) {
-                running.push_back(listener.attempt);
+                runningAttempts.push_back(listener.attempt);
             }
         }
     }
-    for (const auto &attempt : waiting) {
-        leaveWaiting(attempt, now);
+    for (const auto &attempt : waitingAttempts) {
+        detachFromWaiting(attempt, now);
     }
-    for (const auto &attempt : running) {
-        leaveRunning(attempt, now);
+    for (const auto &attempt : runningAttempts) {
+        detachFromRunning(attempt, now);
     }
 }
 
@@ -98,7 +98,7 @@
     }
     names.push_back(init_.name);
     std::ranges::sort(names);
-    liveSidecars_ = static_cast<std::uint32_t>(names.size());
+    liveSidecarCount_ = static_cast<std::uint32_t>(names.size());
     if (names == memberNames_) {
         return;
     }
@@ -117,29 +117,29 @@
 
 PeerHandle SidecarDecisions::Impl::scheduler() const
 {
-    PeerHandle best;
-    std::uint64_t fence = 0;
+    PeerHandle selected;
+    std::uint64_t highestFence = 0;
     for (const auto &[peer, subscriber] : subscribers_) {
-        if (subscriber.scheduler && (!best || subscriber.schedulerFence > fence)) {
-            best = peer;
-            fence = subscriber.schedulerFence;
+        if (subscriber.isScheduler && (!selected || subscriber.schedulerFence > highestFence)) {
+            selected = peer;
+            highestFence = subscriber.schedulerFence;
         }
     }
-    return best;
+    return selected;
 }
 
-void SidecarDecisions::Impl::hearScheduler(PeerHandle from, std::uint64_t fence, TimePoint now)
+void SidecarDecisions::Impl::onSchedulerMessage(PeerHandle from, std::uint64_t fence, TimePoint now)
 {
     if (fence < highestGrantFence_) {
-        return; // it was paused past its lease
+        return; // a scheduler that was paused past its lease
     }
     highestGrantFence_ = fence;
-    schedulerSilent_ = false;
-    const auto place = subscribers_.find(from);
-    if (place != subscribers_.end()) {
-        place->second.scheduler = true;
-        place->second.schedulerFence = fence;
-        place->second.schedulerHeard = now;
+    isSchedulerSuspect_ = false;
+    const auto it = subscribers_.find(from);
+    if (it != subscribers_.end()) {
+        it->second.isScheduler = true;
+        it->second.schedulerFence = fence;
+        it->second.schedulerReceivedAt = now;
     }
 }
 
