--- a/src/residency/sidecar_versions.cpp
+++ b/src/residency/sidecar_versions.cpp
@@ -1,5 +1,5 @@
-// The configuration as this sidecar sees it. A route is resolved here a second time, at this sidecar's own revision, so
-// that an entry which lags behind can't have the wrong version run.
+// Checks of calls against the configuration. Resolving each route again at the sidecar's revision prevents an entry
+// with an older revision from running the wrong version.
 #include "sidecar.h"
 
 #include <algorithm>
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr Duration longestHold = Seconds(1);
-constexpr int holdShare = 4; // at most this part of a call's time is spent on waiting for the configuration
-constexpr Duration fetchGap = Milliseconds(200);
-constexpr std::size_t heldLimit = 64;
-constexpr Duration behindRetry = Milliseconds(500);
-constexpr double prefetchShare = 0.2; // a version loaded ahead is worth this share of the present one
+constexpr Duration maxHoldTime = Seconds(1);
+constexpr int holdTimeDivisor = 4; // at most 1/4 of a call's budget is spent waiting for the configuration
+constexpr Duration minFetchInterval = Milliseconds(200);
+constexpr std::size_t maxHeldCalls = 64;
+constexpr Duration behindRetryDelay = Milliseconds(500);
+constexpr double prefetchWeight = 0.2; // value of a version loaded ahead, relative to the current one
 
 } // namespace
 
@@ -31,21 +31,21 @@
         return init_.config->service(request.service()) ? std::nullopt
                                                         : std::optional(RefusalDetail{RefusalReason::UnknownService});
     }
-    const bool older = request.config_revision() < revision();
-    const AdapterVersion named{request.adapter(), request.version()};
-    const auto own = init_.config->route(request.route());
+    const bool isOlder = request.config_revision() < revision();
+    const AdapterVersion requested{request.adapter(), request.version()};
+    const auto localRoute = init_.config->route(request.route());
     if (init_.safeguards.staleRevisionRefusal) {
-        if (!own) {
-            return RefusalDetail{older ? RefusalReason::StaleRevision : RefusalReason::UnknownRoute};
+        if (!localRoute) {
+            return RefusalDetail{isOlder ? RefusalReason::StaleRevision : RefusalReason::UnknownRoute};
         }
-        // Without this refusal an entry that missed a change goes on sending callers to the version that the operators
-        // have replaced. The entry learns our revision from the refusal and resolves again.
-        if (own->target != named) {
+        // Prevents an entry that missed a change from sending callers to a replaced version. The refusal carries this
+        // sidecar's revision, and the entry resolves again.
+        if (localRoute->target != requested) {
             return RefusalDetail{RefusalReason::StaleRevision};
         }
     }
-    const bool otherModel = own && !init_.baseModel.empty() && own->baseModel != init_.baseModel;
-    if (otherModel || (!named.empty() && init_.config->weights(named).empty())) {
+    const bool hasOtherModel = localRoute && !init_.baseModel.empty() && localRoute->baseModel != init_.baseModel;
+    if (hasOtherModel || (!requested.empty() && init_.config->weights(requested).empty())) {
         return RefusalDetail{RefusalReason::AdapterUnavailable};
     }
     return std::nullopt;
@@ -56,64 +56,65 @@
     return init_.config != nullptr && request.config_revision() > revision();
 }
 
-void SidecarDecisions::Impl::hold(PeerHandle from, const wire::CallRequest &request, TimePoint arrived, Now now)
+void SidecarDecisions::Impl::holdCall(PeerHandle from, const wire::CallRequest &request, TimePoint arrivedAt, Now now)
 {
     const Duration budget(std::min<std::uint64_t>(request.budget_us(), 1ULL << 40));
-    const Duration patience = std::min(longestHold, budget / holdShare);
-    if (held_.size() >= heldLimit || now.mono >= arrived + patience) {
-        return refuse({from, AttemptKey::of(request.id())},
-                      {RefusalReason::RevisionBehind, provesNotRun(request, now), random_.jitter(behindRetry)});
+    const Duration holdTime = std::min(maxHoldTime, budget / holdTimeDivisor);
+    if (heldCalls_.size() >= maxHeldCalls || now.mono >= arrivedAt + holdTime) {
+        return refuse({from, AttemptKey::fromWire(request.id())},
+                      {RefusalReason::RevisionBehind, provesNotRun(request, now), random_.jitter(behindRetryDelay)});
     }
-    held_.push_back({from, request, arrived, arrived + patience});
+    heldCalls_.push_back({from, request, arrivedAt, arrivedAt + holdTime});
     fetchConfig(now);
 }
 
 void SidecarDecisions::Impl::fetchConfig(Now now)
 {
-    // Asked again while calls are held: the question or its answer may be lost.
-    if (held_.empty() || now.mono < nextFetch_) {
+    // Repeated while calls are held, because the request or its reply may be lost.
+    if (heldCalls_.empty() || now.mono < nextFetchAt_) {
         return;
     }
-    nextFetch_ = now.mono + fetchGap;
+    nextFetchAt_ = now.mono + minFetchInterval;
     wire::Envelope message;
     auto &fetch = *message.mutable_config_fetch();
     fetch.mutable_from()->set_name(init_.name);
     fetch.mutable_from()->set_incarnation(init_.incarnation);
     fetch.set_have_revision(revision());
-    send(held_.back().from, std::move(message));
+    send(heldCalls_.back().from, std::move(message));
 }
 
-void SidecarDecisions::Impl::expireHeld(Now now)
+void SidecarDecisions::Impl::expireHeldCalls(Now now)
 {
-    for (std::size_t i = 0; i < held_.size();) {
-        if (held_[i].until > now.mono) {
+    for (std::size_t i = 0; i < heldCalls_.size();) {
+        if (heldCalls_[i].deadline > now.mono) {
             ++i;
             continue;
         }
-        refuse({held_[i].from, AttemptKey::of(held_[i].request.id())},
-               {RefusalReason::RevisionBehind, provesNotRun(held_[i].request, now), random_.jitter(behindRetry)});
-        held_.erase(held_.begin() + static_cast<std::ptrdiff_t>(i));
+        refuse({heldCalls_[i].from, AttemptKey::fromWire(heldCalls_[i].request.id())},
+               {RefusalReason::RevisionBehind, provesNotRun(heldCalls_[i].request, now),
+                random_.jitter(behindRetryDelay)});
+        heldCalls_.erase(heldCalls_.begin() + static_cast<std::ptrdiff_t>(i));
     }
     fetchConfig(now);
 }
 
 void SidecarDecisions::Impl::onConfigChanged(Now now)
 {
-    heartbeatAtOnce_ = true;
-    openGuards(now);
-    // Calls that wait are resolved again: run minutes later at the old version, they would break the promise that an
-    // accepted change is in force within seconds. Calls that run already go on beside the new version.
-    for (auto place = queue_.calls().begin(); place != queue_.calls().end();) {
-        const auto current = place++;
+    isHeartbeatUrgent_ = true;
+    createGuards(now);
+    // Waiting calls are resolved again, so that an accepted change takes effect within seconds. Running calls continue
+    // at the old version.
+    for (auto it = queue_.calls().begin(); it != queue_.calls().end();) {
+        const auto current = it++;
         if (const auto refusal = checkVersion(current->request)) {
             refuseAll(*current, *refusal);
-            dropWaiting(current);
+            removeWaiting(current);
         }
     }
     markSuperseded();
     planPrefetch();
-    for (auto &held : std::exchange(held_, {})) {
-        admit(held.from, held.request, held.arrived, now);
+    for (auto &held : std::exchange(heldCalls_, {})) {
+        admit(held.from, held.request, held.arrivedAt, now);
     }
 }
 
@@ -123,8 +124,8 @@
         if (record.route.empty() || init_.config == nullptr) {
             continue;
         }
-        const auto own = init_.config->route(record.route);
-        record.superseded = !own || own->target != which;
+        const auto localRoute = init_.config->route(record.route);
+        record.isSuperseded = !localRoute || localRoute->target != which;
     }
 }
 
@@ -135,29 +136,30 @@
         return;
     }
     for (const auto &[which, record] : adapters_.records()) {
-        const auto own = record.route.empty() ? std::nullopt : init_.config->route(record.route);
-        if (!own || own->target != which || own->nextVersion.empty()) {
+        const auto localRoute = record.route.empty() ? std::nullopt : init_.config->route(record.route);
+        if (!localRoute || localRoute->target != which || localRoute->nextVersion.empty()) {
             continue;
         }
-        prefetch_.insert_or_assign({which.adapter, own->nextVersion}, which);
+        prefetch_.insert_or_assign({which.adapter, localRoute->nextVersion}, which);
     }
 }
 
 std::vector<Demand> SidecarDecisions::Impl::prefetchDemands(TimePoint now) const
 {
     std::vector<Demand> result;
-    for (const auto &[next, present] : prefetch_) {
-        const auto *there = adapters_.find(next);
-        const auto *current = adapters_.find(present);
-        const bool blocked =
-            there != nullptr && (there->occupiesSlot() || there->waiting != 0 || there->notBefore > now);
-        if (blocked || current == nullptr || current->state != ResidencyState::Resident) {
+    for (const auto &[next, currentVersion] : prefetch_) {
+        const auto *nextRecord = adapters_.find(next);
+        const auto *currentRecord = adapters_.find(currentVersion);
+        const bool isBlocked =
+            nextRecord != nullptr
+            && (nextRecord->occupiesSlot() || nextRecord->waiting != 0 || nextRecord->earliestLoadAt > now);
+        if (isBlocked || currentRecord == nullptr || currentRecord->state != ResidencyState::Resident) {
             continue;
         }
         Demand demand;
         demand.which = next;
-        demand.oldest = now;
-        demand.gain = prefetchShare * keepValue(*current, loadTime_.at(now), evictionRules_, now);
+        demand.oldestArrival = now;
+        demand.gain = prefetchWeight * retentionValue(*currentRecord, loadTime_.at(now), evictionRules_, now);
         result.push_back(std::move(demand));
     }
     return result;
--- a/tests/unit/residency_faults_test.cpp
+++ b/tests/unit/residency_faults_test.cpp
@@ -1,5 +1,4 @@
-// The sidecar's decisions under faults of the engine, of orders and of predecessors. Each test tells the failure that
-// it causes; the engine of the fixture keeps its own books and notes what was done wrong.
+// Tests of the sidecar under faults of the engine, lost orders and orders of a predecessor.
 #include "residency_fixture.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +7,6 @@
 
 namespace {
 
-/// A sidecar with one slot, on which `lounge` is resident.
 SidecarInit oneSlot()
 {
     SidecarInit init;
@@ -22,15 +20,14 @@
     fixture.answerOrders();
     fixture.end(fixture.started.back().execution, CallOutcome::Complete);
     fixture.started.clear();
-    fixture.advance(Seconds(3)); // past the protection of a new resident
+    fixture.advance(Seconds(3)); // past the eviction protection after a load
 }
 
 } // namespace
 
-TEST(ResidencyFaults, BrokenConnectionKeepsThePin)
+TEST(ResidencyFaults, BrokenConnectionKeepsPin)
 {
-    // The caller's stream breaks. The sidecar's connection to the engine is gone, but the engine still runs the call;
-    // another adapter then needs the slot. Unloading now would pull the adapter away under the running call.
+    // Guards against unloading an adapter whose call still runs at the engine after its connection broke.
     SidecarFixture fixture(oneSlot());
     fixture.recover();
     fixture.call(lounge);
@@ -38,18 +35,17 @@
     fixture.end(fixture.started[0].execution, CallOutcome::Unknown, FailureReason::EndpointCut, false);
     EXPECT_EQ(fixture.state(lounge).pins(), 1U);
     fixture.call(transit);
-    fixture.settle(20);
+    fixture.runSeconds(20);
     EXPECT_EQ(fixture.residency(lounge), ResidencyState::Resident);
     fixture.engine.running.clear();
-    fixture.settle(5);
+    fixture.runSeconds(5);
     EXPECT_EQ(fixture.residency(transit), ResidencyState::Resident);
     EXPECT_TRUE(fixture.engine.violations.empty());
 }
 
-TEST(ResidencyFaults, ListAskedForBeforeTheBreakReleasesNothing)
+TEST(ResidencyFaults, ListRequestedBeforeDisconnectReleasesNoPin)
 {
-    // A list is on its way when a second connection breaks. It was made while the call had not yet reached the
-    // engine, so it shows none running. Taken as proof, it would free an adapter that is in use.
+    // Guards against releasing an adapter in use by a list that was created before the call reached the engine.
     SidecarFixture fixture(oneSlot());
     fixture.recover();
     fixture.call(lounge);
@@ -58,15 +54,15 @@
     fixture.advance(Milliseconds(600));
     const auto list = fixture.takeOrder(OrderKind::List);
     ASSERT_TRUE(list.order);
-    const auto before = fixture.engine.list();
+    const auto outdatedList = fixture.engine.list();
     fixture.call(lounge);
     fixture.end(fixture.started.back().execution, CallOutcome::Unknown, FailureReason::EndpointCut, false);
-    fixture.sidecar.onEngineList(list.order, before, fixture.now);
+    fixture.sidecar.onEngineList(list.order, outdatedList, fixture.now);
     fixture.collect();
     EXPECT_GE(fixture.state(lounge).pins(), 1U);
 }
 
-TEST(ResidencyFaults, ConfirmedEndsReleaseThePin)
+TEST(ResidencyFaults, ConfirmedEndReleasesPin)
 {
     SidecarFixture fixture;
     fixture.recover();
@@ -78,7 +74,7 @@
     fixture.end(fixture.started[1].execution, CallOutcome::Cancelled, FailureReason::CallerGone);
     fixture.end(fixture.started[2].execution, CallOutcome::Failed, FailureReason::EndpointError);
     fixture.end(fixture.started[3].execution, CallOutcome::Failed, FailureReason::EndpointUnreachable);
-    // A long answer that was read whole but not kept: unknown to a repeat, over for the engine.
+    // The answer was read completely but is too long to be kept: the engine has finished the call.
     fixture.end(fixture.started[4].execution, CallOutcome::Unknown, FailureReason::AnswerIncomplete);
     EXPECT_EQ(fixture.state(lounge).pins(), 0U);
 }
@@ -96,16 +92,15 @@
     fixture.advance(Seconds(2));
     ASSERT_EQ(fixture.orders.size(), 1U);
     EXPECT_EQ(fixture.orders[0].kind, OrderKind::Unload);
-    // A call for the adapter that is being unloaded takes no pin; it waits for the next load.
+    // A call for the adapter that is being unloaded gets no pin and waits for the next load.
     fixture.call(lounge);
     EXPECT_EQ(fixture.started.size(), 1U);
     EXPECT_EQ(fixture.state(lounge).pins(), 0U);
 }
 
-TEST(ResidencyFaults, LostReplyOfALoadIsSettledByTheList)
+TEST(ResidencyFaults, LostLoadReplyIsResolvedByList)
 {
-    // The reply to a load is lost. The engine may have the adapter, may get it later, or never. Calls must not be
-    // sent to it and its slot must not be used for another before that is known.
+    // Guards against sending calls to an adapter, or reusing its slot, while the effect of its load is unknown.
     SidecarFixture fixture(oneSlot());
     fixture.recover();
     fixture.call(lounge);
@@ -115,14 +110,14 @@
     fixture.advance(Seconds(2));
     fixture.answerOrders();
     EXPECT_EQ(fixture.residency(lounge), ResidencyState::Unknown) << "a list without it proves nothing yet";
-    fixture.engine.apply(load); // lands late
+    fixture.engine.apply(load); // takes effect late
     fixture.advance(Seconds(2));
     fixture.answerOrders();
     EXPECT_EQ(fixture.residency(lounge), ResidencyState::Resident);
     EXPECT_EQ(fixture.started.size(), 1U);
 }
 
-TEST(ResidencyFaults, LostLoadThatNeverLandsFreesTheSlotAfterTheOrderTimeout)
+TEST(ResidencyFaults, LostLoadFreesSlotAfterOrderTimeout)
 {
     SidecarInit init = oneSlot();
     init.orderTimeout = Seconds(10);
@@ -140,10 +135,9 @@
     EXPECT_NE(fixture.residency(lounge), ResidencyState::Unknown);
 }
 
-TEST(ResidencyFaults, LostReplyOfAnUnloadTakesNoCallBeforeItIsSettled)
+TEST(ResidencyFaults, LostUnloadReplyBlocksCallsUntilResolved)
 {
-    // The reply to an unload is lost and the engine still shows the adapter. A call is sent to it, and then the unload
-    // lands: the call loses its adapter. So the adapter takes no call until the order can't land any more.
+    // Guards against starting a call on an adapter whose unload may still take effect.
     SidecarInit init = oneSlot();
     init.orderTimeout = Seconds(10);
     SidecarFixture fixture(init);
@@ -158,7 +152,7 @@
     fixture.answerOrders();
     EXPECT_TRUE(fixture.started.empty());
     fixture.engine.apply(unload);
-    fixture.settle(15);
+    fixture.runSeconds(15);
     EXPECT_FALSE(fixture.started.empty());
     EXPECT_TRUE(fixture.engine.violations.empty());
 }
@@ -173,32 +167,30 @@
     const auto load = fixture.takeOrder(OrderKind::Load);
     fixture.advance(Seconds(12));
     EXPECT_EQ(fixture.residency(lounge), ResidencyState::Unknown);
-    fixture.reply(load, OrderOutcome::Done); // too late to be trusted: the list decides
+    fixture.reply(load, OrderOutcome::Done); // late reply: only a list may resolve the state
     EXPECT_EQ(fixture.residency(lounge), ResidencyState::Unknown);
 }
 
-TEST(ResidencyFaults, NewSidecarProtectsCallsOfItsPredecessor)
+TEST(ResidencyFaults, NewSidecarProtectsCallsOfPredecessor)
 {
-    // A sidecar is killed while the engine runs its call. The new one knows nothing of the call; evicting its adapter
-    // for a newcomer would cut the call. It waits until the engine shows none running.
+    // Guards against evicting an adapter under a call that was started by a killed predecessor.
     SidecarFixture fixture(oneSlot());
     fixture.engine.loaded.insert(lounge);
     fixture.engine.running.push_back({ExecutionHandle{999}, lounge, {}});
     fixture.recover();
     EXPECT_EQ(fixture.residency(lounge), ResidencyState::Resident);
     fixture.call(transit);
-    fixture.settle(12);
+    fixture.runSeconds(12);
     EXPECT_EQ(fixture.residency(lounge), ResidencyState::Resident);
     fixture.engine.running.clear();
-    fixture.settle(5);
+    fixture.runSeconds(5);
     EXPECT_EQ(fixture.residency(transit), ResidencyState::Resident);
     EXPECT_TRUE(fixture.engine.violations.empty());
 }
 
-TEST(ResidencyFaults, OrderOfAPredecessorIsFencedOff)
+TEST(ResidencyFaults, PredecessorOrderIsFencedOff)
 {
-    // The predecessor's unload is still on its way when the new sidecar begins. Landing later it would pull an adapter
-    // away under a call. A checking endpoint refuses it, because it has seen the larger number before.
+    // Guards against a delayed unload of the predecessor: the endpoint must have received a larger fencing number.
     SidecarFixture fixture;
     fixture.engine.loaded.insert(lounge);
     fixture.engine.highestFence = 40;
@@ -214,7 +206,7 @@
     EXPECT_TRUE(fixture.engine.violations.empty());
 }
 
-TEST(ResidencyFaults, FenceGrowsPastANumberFromAClockThatWasAhead)
+TEST(ResidencyFaults, FenceExceedsNumberFromFastClock)
 {
     SidecarFixture fixture;
     fixture.engine.highestFence = 5000;
@@ -224,18 +216,17 @@
     EXPECT_EQ(fixture.orders[0].fence, 5001U);
 }
 
-TEST(ResidencyFaults, EndpointThatIgnoresFencesIsWaitedOut)
+TEST(ResidencyFaults, RecoveryWaitsForOrdersWithoutFencing)
 {
-    // As above, but the endpoint checks no numbers: the predecessor's unload lands seconds after the start. Nothing is
-    // admitted before the longest order is over.
+    // Guards against admitting calls while an order of the predecessor may take effect at an endpoint without fencing.
     SidecarInit init;
     init.endpointChecksFence = false;
     init.orderTimeout = Seconds(10);
     SidecarFixture fixture(init);
     fixture.engine.loaded.insert(lounge);
     fixture.recover();
-    const auto early = fixture.call(lounge);
-    EXPECT_EQ(fixture.refusalOf(early), RefusalReason::Recovering);
+    const auto duringWait = fixture.call(lounge);
+    EXPECT_EQ(fixture.refusalOf(duringWait), RefusalReason::Recovering);
     EXPECT_LE(fixture.refusals.back().retry_after_us(), 10'000'000U);
     fixture.advance(Seconds(9));
     fixture.answerOrders();
@@ -246,17 +237,16 @@
     fixture.engine.apply(unload);
     fixture.advance(Seconds(2));
     fixture.answerOrders();
-    const auto served = fixture.call(lounge);
-    EXPECT_FALSE(fixture.refusalOf(served));
+    const auto afterWait = fixture.call(lounge);
+    EXPECT_FALSE(fixture.refusalOf(afterWait));
     fixture.answerOrders();
     EXPECT_EQ(fixture.started.size(), 1U);
     EXPECT_TRUE(fixture.engine.violations.empty());
 }
 
-TEST(ResidencyFaults, EngineRestartLosesAdaptersAndPins)
+TEST(ResidencyFaults, EngineRestartClearsAdaptersAndPins)
 {
-    // The engine restarts with calls in flight. Their connections may hang for long. Adapters believed resident are
-    // gone: a call sent on would fail. All start cold, and the running calls are ended.
+    // Guards against sending calls to adapters that were lost in an engine restart, and against hung executions.
     SidecarFixture fixture;
     fixture.recover();
     fixture.call(lounge);
@@ -267,8 +257,8 @@
     ASSERT_EQ(fixture.cancelled.size(), 1U);
     EXPECT_EQ(fixture.cancelled[0].why, FailureReason::EndpointRestarted);
     EXPECT_EQ(fixture.sidecar.stats().running, 0U);
-    const auto during = fixture.call(lounge);
-    EXPECT_EQ(fixture.refusalOf(during), RefusalReason::Recovering);
+    const auto duringRecovery = fixture.call(lounge);
+    EXPECT_EQ(fixture.refusalOf(duringRecovery), RefusalReason::Recovering);
     fixture.answerOrders();
     EXPECT_EQ(fixture.residency(lounge), ResidencyState::Absent);
     fixture.call(lounge);
@@ -276,11 +266,11 @@
     fixture.answerOrders();
     EXPECT_EQ(fixture.started.size(), 2U);
     fixture.end(fixture.started[0].execution, CallOutcome::Unknown, FailureReason::EndpointRestarted);
-    EXPECT_EQ(fixture.state(lounge).pins(), 1U) << "the end of the old call is not the new one's";
+    EXPECT_EQ(fixture.state(lounge).pins(), 1U) << "the end of the old call does not release the pin of the new one";
     EXPECT_TRUE(fixture.engine.violations.empty());
 }
 
-TEST(ResidencyFaults, LateReportOfTheOldEngineIsIgnored)
+TEST(ResidencyFaults, LateReportFromOldEngineIsIgnored)
 {
     SidecarFixture fixture;
     fixture.recover();
@@ -292,10 +282,10 @@
     EXPECT_EQ(fixture.sidecar.stats().engineRestarts, 1U);
 }
 
-TEST(ResidencyFaults, LoadGivenToTheNewEngineBeforeItsRestartWasNoticed)
+TEST(ResidencyFaults, LoadSentBeforeRestartIsDetected)
 {
-    // The engine restarts unnoticed; a load goes to the new process and succeeds, its reply is delayed. Then the new
-    // incarnation is noticed. Taking the adapter as absent would load it into a second slot's place.
+    // A load may succeed at the new engine process before its restart is detected. Guards against treating the adapter
+    // as absent, which would overcommit the slots.
     SidecarFixture fixture(oneSlot());
     fixture.recover();
     fixture.engine.restart();
@@ -310,11 +300,10 @@
     EXPECT_TRUE(fixture.engine.violations.empty());
 }
 
-TEST(ResidencyFaults, UnloadGivenAroundARestartMayLandAfterTheNextLoad)
+TEST(ResidencyFaults, UnloadSentAroundRestartMayTakeEffectLate)
 {
-    // The engine restarts unnoticed and an unload is on its way to the new process. The list then shows the adapter
-    // gone, but by the restart. Taken as the unload's effect, the adapter would be loaded again and used, and the
-    // unload would land under the running call.
+    // After an undetected restart the adapter is absent although a pending unload was not executed. Guards against
+    // loading it again and starting a call before the unload takes effect.
     SidecarInit init = oneSlot();
     init.orderTimeout = Seconds(10);
     SidecarFixture fixture(init);
@@ -333,40 +322,39 @@
     fixture.answerOrders();
     EXPECT_TRUE(fixture.started.empty());
     fixture.engine.apply(unload);
-    fixture.settle(12);
+    fixture.runSeconds(12);
     EXPECT_FALSE(fixture.started.empty());
     EXPECT_TRUE(fixture.engine.violations.empty());
 }
 
-TEST(ResidencyFaults, VersionThatKeepsFailingIsQuarantined)
+TEST(ResidencyFaults, RepeatedlyFailingVersionIsQuarantined)
 {
-    // A broken version fails each load. Tried again and again it would take the weight store's rate from everyone
-    // while its callers wait out their deadlines.
+    // Guards against a broken version that uses up the weight store's rate while its callers wait for their deadlines.
     SidecarFixture fixture;
     fixture.recover();
-    std::uint64_t last = 0;
+    std::uint64_t lastCall = 0;
     for (int i = 0; i < 3; ++i) {
-        last = fixture.call(lounge);
+        lastCall = fixture.call(lounge);
         fixture.advance(Seconds(8));
         const auto load = fixture.takeOrder(OrderKind::Load);
         ASSERT_TRUE(load.order) << i;
         fixture.reply(load, OrderOutcome::Failed);
     }
-    EXPECT_EQ(fixture.refusalOf(last), RefusalReason::AdapterQuarantined);
-    const auto later = fixture.call(lounge);
-    EXPECT_EQ(fixture.refusalOf(later), RefusalReason::AdapterQuarantined);
+    EXPECT_EQ(fixture.refusalOf(lastCall), RefusalReason::AdapterQuarantined);
+    const auto laterCall = fixture.call(lounge);
+    EXPECT_EQ(fixture.refusalOf(laterCall), RefusalReason::AdapterQuarantined);
     EXPECT_GT(fixture.refusals.back().retry_after_us(), 20'000'000U);
     fixture.call(transit);
     fixture.advance(Seconds(1));
     fixture.answerOrders();
-    EXPECT_EQ(fixture.residency(transit), ResidencyState::Resident) << "others are untouched";
+    EXPECT_EQ(fixture.residency(transit), ResidencyState::Resident) << "other adapters are unaffected";
     fixture.advance(Seconds(31));
     fixture.call(lounge);
     fixture.answerOrders();
     EXPECT_EQ(fixture.residency(lounge), ResidencyState::Resident) << "one trial after the quarantine";
 }
 
-TEST(ResidencyFaults, RefusalOfTheWeightStoreIsNoFaultOfTheVersion)
+TEST(ResidencyFaults, WeightStoreRefusalDoesNotQuarantine)
 {
     SidecarFixture fixture;
     fixture.recover();
@@ -384,10 +372,9 @@
     EXPECT_EQ(fixture.started.size(), 1U);
 }
 
-TEST(ResidencyFaults, OrderFencedOffEndsThisSidecar)
+TEST(ResidencyFaults, FencedOffOrderStartsDrain)
 {
-    // Another process with a larger number gives the engine orders. Two that decide on evictions would pull adapters
-    // away under each other's calls; the one with the smaller number stops.
+    // Guards against two sidecars that evict each other's adapters: the one with the smaller fencing number drains.
     SidecarFixture fixture;
     fixture.recover();
     fixture.call(lounge);
@@ -396,7 +383,7 @@
     EXPECT_TRUE(fixture.sidecar.leaving());
 }
 
-TEST(ResidencyFaults, LostEndpointHandsBackWhatWaits)
+TEST(ResidencyFaults, LostEndpointRefusesWaitingCalls)
 {
     SidecarInit init;
     init.batchLimit = 1;
@@ -410,11 +397,11 @@
     EXPECT_EQ(fixture.refusalOf(waiting), RefusalReason::EndpointDown);
     fixture.advance(Seconds(2));
     fixture.answerOrders();
-    const auto later = fixture.call(lounge);
-    EXPECT_FALSE(fixture.refusalOf(later));
+    const auto laterCall = fixture.call(lounge);
+    EXPECT_FALSE(fixture.refusalOf(laterCall));
 }
 
-TEST(ResidencyFaults, EntryThatDiesLeavesNothingRunning)
+TEST(ResidencyFaults, LostEntryCancelsItsCalls)
 {
     SidecarFixture fixture;
     fixture.recover();
--- a/tests/unit/residency_fixture.h
+++ b/tests/unit/residency_fixture.h
@@ -1,5 +1,4 @@
-// One sidecar's decisions under a virtual clock, with an engine that does what it is told when the test says so.
-// The engine keeps its own books: what it finds wrong is a fault of the decisions, whatever they think themselves.
+// Test fixture: a sidecar with a virtual clock and a fake engine that detects invalid orders and calls.
 #pragma once
 
 #include "anvilscale/residency.h"
@@ -16,6 +15,7 @@
 inline const PeerHandle entry{1};
 inline const PeerHandle otherEntry{2};
 
+/// Call that runs at the fake engine.
 struct RunningCall
 {
     ExecutionHandle execution;
@@ -23,12 +23,14 @@
     wire::CallRequest request;
 };
 
-/// An order on its way to the engine.
+/// Order in transit to the engine.
 struct SentOrder : SendOrder
 {
     TimePoint sentAt;
 };
 
+/// Engine under the control of a test. Tracks its state independently of the sidecar and records each operation that a
+/// correct sidecar must not cause in `violations`.
 class FakeEngine
 {
 public:
@@ -36,7 +38,7 @@
         : slots_(slots)
     {
     }
-    /// Carries the order out and tells what an engine would answer.
+    /// Executes the order and returns the outcome that an engine would report.
     OrderOutcome apply(const SendOrder &order)
     {
         if (checksFence && order.fence < highestFence) {
@@ -51,7 +53,7 @@
             loaded.insert(order.which);
         }
         if (order.kind == OrderKind::Unload) {
-            if (runs(order.which) != 0) {
+            if (runningCount(order.which) != 0) {
                 violations.push_back("unload under a running call: " + order.which.text());
             }
             loaded.erase(order.which);
@@ -62,8 +64,8 @@
     {
         const AdapterVersion which{start.request.adapter(), start.request.version()};
         if (!which.empty() && !loaded.contains(which)) {
-            if (restartUnnoticed) {
-                return; // an engine that has just lost its adapters says so to the caller
+            if (isRestartUndetected) {
+                return; // a restarted engine answers with an error
             }
             violations.push_back("call on an adapter that is not loaded: " + which.text());
         }
@@ -73,7 +75,7 @@
     {
         return std::erase_if(running, [&](const RunningCall &call) { return call.execution == execution; }) != 0;
     }
-    std::uint32_t runs(const AdapterVersion &which) const
+    std::uint32_t runningCount(const AdapterVersion &which) const
     {
         return static_cast<std::uint32_t>(std::ranges::count(running, which, &RunningCall::which));
     }
@@ -84,26 +86,26 @@
         result.highestFence = highestFence;
         result.loaded.assign(loaded.begin(), loaded.end());
         for (const auto &which : loaded) {
-            if (runs(which) != 0) {
-                result.running.emplace_back(which, runs(which));
+            if (runningCount(which) != 0) {
+                result.running.emplace_back(which, runningCount(which));
             }
         }
         return result;
     }
-    /// All adapters and calls are gone; orders and connections die with the process.
+    /// Restarts the engine process: all adapters, calls and connections are lost.
     void restart()
     {
         ++incarnation;
         loaded.clear();
         running.clear();
         highestFence = 0;
-        restartUnnoticed = true;
+        isRestartUndetected = true;
     }
 
     std::uint64_t incarnation = 100;
     std::uint64_t highestFence = 0;
     bool checksFence = true;
-    bool restartUnnoticed = false;
+    bool isRestartUndetected = false;
     std::set<AdapterVersion> loaded;
     std::vector<RunningCall> running;
     std::vector<std::string> violations;
@@ -112,24 +114,25 @@
     std::uint32_t slots_;
 };
 
+/// Runs a sidecar against a FakeEngine and records the actions that it returns.
 class SidecarFixture
 {
 public:
     explicit SidecarFixture(SidecarInit init = {})
         : engine(init.slots)
-        , init_(complete(std::move(init), timers))
-        , holder_(std::in_place, init_)
-        , sidecar(*holder_)
+        , init_(completeInit(std::move(init), timers))
+        , storage_(std::in_place, init_)
+        , sidecar(*storage_)
     {
         engine.checksFence = init_.endpointChecksFence;
     }
-    /// The process is killed and started again. Its orders stay on their way, their replies reach nobody.
+    /// Kills and restarts the sidecar process. Its orders stay in transit, but their replies are lost.
     void restartSidecar()
     {
-        holder_.reset();
-        madeLists_.clear();
+        storage_.reset();
+        preparedLists_.clear();
         ++init_.incarnation;
-        holder_.emplace(init_);
+        storage_.emplace(init_);
         start();
     }
 
@@ -138,7 +141,7 @@
         sidecar.start(now);
         collect();
     }
-    /// Starts, and answers the engine's part until calls are admitted.
+    /// Starts the sidecar and answers its orders until calls are admitted.
     void recover()
     {
         start();
@@ -156,7 +159,7 @@
                                       engine.run(start);
                                       started.push_back(std::move(start));
                                   },
-                                  [&](SendMessage &message) { note(message); },
+                                  [&](SendMessage &message) { recordMessage(message); },
                                   [&](AttachListener &attach) { attached.push_back(std::move(attach)); },
                                   [&](DetachListener &detach) { detached.push_back(std::move(detach)); },
                                   [&](CancelExecution &cancel) { cancelled.push_back(cancel); },
@@ -180,7 +183,7 @@
         }
         moveTo(end);
     }
-    /// Carries out and answers the oldest order; false if there is none.
+    /// Executes and answers the oldest order. Returns false if there is none.
     bool answerOrder()
     {
         if (orders.empty()) {
@@ -189,20 +192,20 @@
         const SentOrder order = orders.front();
         orders.erase(orders.begin());
         if (order.kind == OrderKind::List) {
-            const auto made = madeLists_.extract(order.order);
-            sidecar.onEngineList(order.order, made.empty() ? engine.list() : made.mapped(), now);
+            const auto prepared = preparedLists_.extract(order.order);
+            sidecar.onEngineList(order.order, prepared.empty() ? engine.list() : prepared.mapped(), now);
         } else {
             sidecar.onOrderDone(order.order, engine.apply(order), now);
         }
         collect();
         return true;
     }
-    /// Lists that are asked for are made now, and delivered when they are answered.
-    void makeLists()
+    /// Creates the requested lists now; they are delivered when their orders are answered.
+    void prepareLists()
     {
         for (const auto &order : orders) {
             if (order.kind == OrderKind::List) {
-                madeLists_.try_emplace(order.order, engine.list());
+                preparedLists_.try_emplace(order.order, engine.list());
             }
         }
     }
@@ -212,8 +215,8 @@
             answerOrder();
         }
     }
-    /// Lets so many seconds pass; the endpoint answers all orders after each.
-    void settle(int seconds)
+    /// Advances the clock in steps of one second; the engine answers all orders after each step.
+    void runSeconds(int seconds)
     {
         for (int i = 0; i < seconds; ++i) {
             advance(Seconds(1));
@@ -222,12 +225,12 @@
     }
     SendOrder takeOrder(OrderKind kind)
     {
-        const auto place = std::ranges::find(orders, kind, &SendOrder::kind);
-        if (place == orders.end()) {
+        const auto it = std::ranges::find(orders, kind, &SendOrder::kind);
+        if (it == orders.end()) {
             return {};
         }
-        SendOrder order = *place;
-        orders.erase(place);
+        SendOrder order = *it;
+        orders.erase(it);
         return order;
     }
     void reply(const SendOrder &order, OrderOutcome outcome)
@@ -266,9 +269,9 @@
     }
     std::uint64_t call(const AdapterVersion &which)
     {
-        const auto made = request(which);
-        send(made);
-        return made.id().call();
+        const auto callRequest = request(which);
+        send(callRequest);
+        return callRequest.id().call();
     }
     void cancel(const wire::AttemptId &id)
     {
@@ -286,9 +289,9 @@
         message(from, envelope);
     }
     void end(ExecutionHandle execution, CallOutcome outcome, FailureReason failure = FailureReason::None,
-             bool atEngine = true)
+             bool endsAtEngine = true)
     {
-        if (atEngine) {
+        if (endsAtEngine) {
             engine.end(execution);
         }
         KeptAnswer answer;
@@ -326,7 +329,7 @@
     FakeEngine engine;
 
 private:
-    static SidecarInit complete(SidecarInit init, TimerService &timers)
+    static SidecarInit completeInit(SidecarInit init, TimerService &timers)
     {
         init.name = "hall-east-r1";
         init.incarnation = init.incarnation == 0 ? 50 : init.incarnation;
@@ -338,30 +341,30 @@
         now.wall.ms += std::chrono::duration_cast<Milliseconds>(at - now.mono).count();
         now.mono = at;
     }
-    void note(const SendMessage &sent)
+    void recordMessage(const SendMessage &sent)
     {
         const auto &message = sent.message;
         if (message.has_call_refused()) {
             refusals.push_back(message.call_refused());
         } else if (message.has_heartbeat()) {
             heartbeats.emplace_back(sent.to, message.heartbeat());
-            lastHeard[sent.to] = now.mono;
+            lastReceivedAt[sent.to] = now.mono;
         } else if (message.has_beat()) {
             beats.emplace_back(sent.to, message.beat());
-            lastHeard[sent.to] = now.mono;
+            lastReceivedAt[sent.to] = now.mono;
         } else if (message.has_load_result()) {
             loadResults.push_back(message.load_result());
         } else {
-            others.push_back(sent);
+            otherMessages.push_back(sent);
         }
     }
 
     SidecarInit init_;
-    std::optional<SidecarDecisions> holder_;
-    std::map<OrderHandle, EngineList> madeLists_;
+    std::optional<SidecarDecisions> storage_;
+    std::map<OrderHandle, EngineList> preparedLists_;
 
 public:
-    SidecarDecisions &sidecar; // in holder_
+    SidecarDecisions &sidecar; // owned by storage_
     std::vector<SentOrder> orders;
     std::vector<StartExecution> started;
     std::vector<AttachListener> attached;
@@ -372,9 +375,9 @@
     std::vector<wire::CallRefused> refusals;
     std::vector<std::pair<PeerHandle, wire::Heartbeat>> heartbeats;
     std::vector<std::pair<PeerHandle, wire::Beat>> beats;
-    std::map<PeerHandle, TimePoint> lastHeard; ///< of a heartbeat or a beat
+    std::map<PeerHandle, TimePoint> lastReceivedAt; ///< time of the last heartbeat or beat by receiver
     std::vector<wire::LoadResult> loadResults;
-    std::vector<SendMessage> others;
+    std::vector<SendMessage> otherMessages;
     int drained = 0;
     std::uint64_t lastCall = 0;
 };
--- a/tests/unit/residency_keys_test.cpp
+++ b/tests/unit/residency_keys_test.cpp
@@ -1,5 +1,5 @@
-// Calls that must run at most once, through whole sidecars and a key-value service in virtual time. What counts is how
-// often the service's own counter ran a key, and that "not run" is said only of keys that it never ran.
+// Tests of at-most-once calls with complete sidecars and a key-value service in virtual time. They check how often the
+// service ran a key, and that only keys that never ran are refused as "not run".
 #include "config.pb.h"
 #include "support/virtual_world.h"
 
@@ -47,20 +47,20 @@
         init.services = {"admission"};
         init.batchLimit = batchLimit;
         init.config = &config;
-        init.timers = &world.timers;
+        init.timers = &cluster.timers;
         init.seed = nodes.size() + 1;
         init.safeguards = safeguards;
         auto &node = nodes[name];
         node.decisions = std::make_unique<SidecarDecisions>(init);
-        submits[name] = world.client([&node](const KvReply &reply, Now at) {
+        kvClients[name] = cluster.client([&node](const KvReply &reply, Now at) {
             if (!node.paused) {
                 node.decisions->onKvReply(reply, at);
             }
         });
-        node.decisions->start(world.now());
+        node.decisions->start(cluster.now());
         return node;
     }
-    void tellMembers()
+    void announceMembers()
     {
         std::vector<Member> members;
         for (const auto &[name, node] : nodes) {
@@ -70,15 +70,15 @@
             members.push_back(member);
         }
         for (auto &[name, node] : nodes) {
-            node.decisions->onMembers(members, world.now());
+            node.decisions->onMembers(members, cluster.now());
         }
         run(Seconds(15));
     }
     void run(Duration span)
     {
-        const TimePoint end = world.now().mono + span;
-        while (world.now().mono < end) {
-            world.run(Milliseconds(5));
+        const TimePoint end = cluster.now().mono + span;
+        while (cluster.now().mono < end) {
+            cluster.run(Milliseconds(5));
             collect();
         }
     }
@@ -86,37 +86,37 @@
     {
         for (auto &[name, node] : nodes) {
             for (auto &action : node.decisions->takeActions()) {
-                carryOut(name, node, action);
+                execute(name, node, action);
             }
         }
     }
-    void carryOut(const std::string &name, Node &node, SidecarAction &action)
+    void execute(const std::string &name, Node &node, SidecarAction &action)
     {
-        std::visit(Overloaded{[&](SubmitKv &kv) { submits[name](std::move(kv.request)); },
+        std::visit(Overloaded{[&](SubmitKv &kv) { kvClients[name](std::move(kv.request)); },
                               [&](StartExecution &start) {
-                                  ++runs[start.request.key()];
+                                  ++runCounts[start.request.key()];
                                   node.started.push_back(std::move(start));
                               },
                               [&](AttachListener &attach) { node.attached.push_back(std::move(attach)); },
                               [&](ReplayAnswer &replay) { node.replayed.push_back(std::move(replay)); },
-                              [&](SendMessage &message) { carry(node, message); }, [&](Drained &) { ++node.drained; },
+                              [&](SendMessage &message) { deliver(node, message); }, [&](Drained &) { ++node.drained; },
                               [](auto &) {}},
                    action);
     }
-    void carry(Node &node, const SendMessage &sent)
+    void deliver(Node &node, const SendMessage &sent)
     {
         if (sent.message.has_call_refused()) {
             node.refusals.push_back(sent.message.call_refused());
         }
         if (!sent.member.empty()) {
-            world.later(Milliseconds(1), [this, sent](Now at) {
+            cluster.later(Milliseconds(1), [this, sent](Now at) {
                 nodes.at(sent.member).decisions->onMessage(PeerHandle{9}, sent.message, at);
             });
         }
     }
     std::string newKey()
     {
-        return makeKey(world.now().wall, random);
+        return makeKey(cluster.now().wall, random);
     }
     wire::CallRequest request(const std::string &key, std::uint32_t attempt = 1)
     {
@@ -137,7 +137,7 @@
         wire::Envelope envelope;
         envelope.set_protocol(wireProtocol);
         *envelope.mutable_call_request() = call;
-        node.decisions->onMessage(entry, envelope, world.now());
+        node.decisions->onMessage(entry, envelope, cluster.now());
         collect();
     }
     void end(Node &node, std::size_t index, CallOutcome outcome, FailureReason failure = FailureReason::None)
@@ -147,7 +147,7 @@
         answer.failure = failure;
         answer.status = 200;
         answer.body = "admitted";
-        node.decisions->onExecutionEnded(node.started.at(index).execution, answer, 0, world.now());
+        node.decisions->onExecutionEnded(node.started.at(index).execution, answer, 0, cluster.now());
         collect();
     }
     static std::optional<RefusalReason> lastReason(const Node &node)
@@ -156,12 +156,12 @@
                                      : std::optional(fromWire(node.refusals.back().reason(), RefusalReason::Internal));
     }
 
-    VirtualWorld world;
+    VirtualWorld cluster;
     ConfigStore config;
     Random random{1};
     std::map<std::string, Node> nodes;
-    std::map<std::string, std::function<void(KvRequest)>> submits;
-    std::map<std::string, int> runs;
+    std::map<std::string, std::function<void(KvRequest)>> kvClients;
+    std::map<std::string, int> runCounts;
     std::uint64_t lastCall = 0;
 };
 
@@ -170,25 +170,24 @@
 TEST_F(AtMostOnce, KeysAreChecked)
 {
     auto &node = add("desk-1");
-    tellMembers();
+    announceMembers();
     send(node, request(""));
     EXPECT_EQ(lastReason(node), RefusalReason::KeyMissing);
     send(node, request("not-a-key"));
     EXPECT_EQ(lastReason(node), RefusalReason::KeyInvalid);
-    send(node, request(makeKey(WallTime{world.now().wall.ms + 60'000}, random)));
+    send(node, request(makeKey(WallTime{cluster.now().wall.ms + 60'000}, random)));
     EXPECT_EQ(lastReason(node), RefusalReason::KeyFromFuture);
-    send(node, request(makeKey(WallTime{world.now().wall.ms - 120'000}, random)));
+    send(node, request(makeKey(WallTime{cluster.now().wall.ms - 120'000}, random)));
     EXPECT_EQ(lastReason(node), RefusalReason::KeyTooOld);
     EXPECT_FALSE(node.refusals.back().proved_not_run());
-    EXPECT_TRUE(runs.empty());
+    EXPECT_TRUE(runCounts.empty());
 }
 
-TEST_F(AtMostOnce, RepeatAttachesAndLaterGetsTheKeptAnswer)
+TEST_F(AtMostOnce, RepeatAttachesOrGetsKeptAnswer)
 {
-    // The gate's connection drops and it sends the admission again through another entry, while the first still runs
-    // and once more after its end. A second run would charge the airline twice.
+    // Guards against a second execution when a caller repeats its call during the first one and after its end.
     auto &node = add("desk-1");
-    tellMembers();
+    announceMembers();
     const auto key = newKey();
     send(node, request(key));
     ASSERT_EQ(node.started.size(), 1U);
@@ -199,15 +198,14 @@
     send(node, request(key, 3));
     ASSERT_EQ(node.replayed.size(), 1U);
     EXPECT_EQ(node.replayed[0].answer->body, "admitted");
-    EXPECT_EQ(runs[key], 1);
+    EXPECT_EQ(runCounts[key], 1);
 }
 
-TEST_F(AtMostOnce, CrashInMidCallStaysUnknown)
+TEST_F(AtMostOnce, EndpointCrashLeavesOutcomeUnknown)
 {
-    // The endpoint dies in mid-call. Nobody knows whether the admission was counted, so that it is neither run again
-    // nor called "not run".
+    // After a crash during a call its effect is unknown: it must neither run again nor be refused as "not run".
     auto &node = add("desk-1");
-    tellMembers();
+    announceMembers();
     const auto key = newKey();
     send(node, request(key));
     end(node, 0, CallOutcome::Unknown, FailureReason::EndpointCut);
@@ -219,13 +217,13 @@
     for (const auto &replay : node.replayed) {
         EXPECT_EQ(replay.answer->outcome, CallOutcome::Unknown);
     }
-    EXPECT_EQ(runs[key], 1);
+    EXPECT_EQ(runCounts[key], 1);
 }
 
-TEST_F(AtMostOnce, KeyIsFreeAgainIfNothingWasSent)
+TEST_F(AtMostOnce, KeyIsReleasedIfNothingWasSent)
 {
     auto &node = add("desk-1");
-    tellMembers();
+    announceMembers();
     const auto key = newKey();
     send(node, request(key));
     end(node, 0, CallOutcome::Failed, FailureReason::EndpointUnreachable);
@@ -233,16 +231,16 @@
     EXPECT_EQ(node.started.size(), 2U);
 }
 
-TEST_F(AtMostOnce, OnlyTheOwnerRunsAndTellsItsFence)
+TEST_F(AtMostOnce, OnlySlotOwnerWithSameFenceRuns)
 {
     auto &first = add("desk-1", {}, 64);
     auto &second = add("desk-2", {}, 64);
-    tellMembers();
+    announceMembers();
     for (int i = 0; i < 20; ++i) {
         const auto key = newKey();
         send(first, request(key));
         send(second, request(key));
-        EXPECT_EQ(runs[key], 1);
+        EXPECT_EQ(runCounts[key], 1);
     }
     EXPECT_FALSE(first.started.empty());
     EXPECT_FALSE(second.started.empty());
@@ -255,52 +253,51 @@
     EXPECT_EQ(lastReason(first), RefusalReason::NotSlotOwner);
 }
 
-TEST_F(AtMostOnce, PauseBetweenAdmissionAndSendRunsNothing)
+TEST_F(AtMostOnce, CallIsNotSentAfterLeaseExpired)
 {
-    // A call waits in the queue when its sidecar is paused past its lease. Another sidecar has taken the slot by the
-    // time it wakes. Sent then, the call would run beside what the new owner runs for the caller's repeat.
+    // Guards against sending a queued call after a pause past the lease, while a new slot owner runs the repeat.
     auto &node = add("desk-1", {}, 1);
-    tellMembers();
+    announceMembers();
     send(node, request(newKey()));
     const auto key = newKey();
     auto waiting = request(key);
     waiting.set_budget_us(120'000'000);
     send(node, waiting);
     ASSERT_EQ(node.started.size(), 1U);
-    world.rule = [](const KvRequest &) { return KvFault::Down; };
-    run(Seconds(20)); // its lease has run out by its own clock
+    cluster.rule = [](const KvRequest &) { return KvFault::Down; };
+    run(Seconds(20)); // the lease expires by the sidecar's own clock
     end(node, 0, CallOutcome::Complete);
-    EXPECT_EQ(runs[key], 0);
+    EXPECT_EQ(runCounts[key], 0);
     EXPECT_EQ(lastReason(node), RefusalReason::NotSlotOwner);
     EXPECT_TRUE(node.refusals.back().proved_not_run());
 }
 
-TEST_F(AtMostOnce, TheCheckBeforeTheSendIsWhatPreventsIt)
+// Shows that the lease check before the send is what prevents the execution in the test above.
+TEST_F(AtMostOnce, CallIsSentAfterLeaseExpiredWithoutRecheck)
 {
     Safeguards safeguards;
     safeguards.leaseRecheck = false;
     auto &node = add("desk-1", safeguards, 1);
-    tellMembers();
+    announceMembers();
     send(node, request(newKey()));
     const auto key = newKey();
     auto waiting = request(key);
     waiting.set_budget_us(120'000'000);
     send(node, waiting);
-    world.rule = [](const KvRequest &) { return KvFault::Down; };
+    cluster.rule = [](const KvRequest &) { return KvFault::Down; };
     run(Seconds(20));
     end(node, 0, CallOutcome::Complete);
-    EXPECT_EQ(runs[key], 1);
+    EXPECT_EQ(runCounts[key], 1);
 }
 
-TEST_F(AtMostOnce, RefusalForAnotherReasonIsNoProofForAKeyThatRan)
+TEST_F(AtMostOnce, RefusalOfExecutedKeyDoesNotProveNotRun)
 {
-    // An admission ran and its answer was lost with its entry. The repeat meets an endpoint that is down and a queue
-    // that is closed: told "not run", the gate would admit the guest a second time by hand.
+    // Guards against refusing the repeat of an executed call as "not run" for another reason, such as its deadline.
     auto &node = add("desk-1");
-    tellMembers();
+    announceMembers();
     const auto key = newKey();
     send(node, request(key));
-    node.decisions->onEngineLost(world.now());
+    node.decisions->onEngineLost(cluster.now());
     auto repeat = request(key, 2);
     repeat.set_budget_us(0);
     send(node, repeat);
@@ -312,13 +309,13 @@
     send(node, request(fresh));
     EXPECT_EQ(lastReason(node), RefusalReason::EndpointDown);
     EXPECT_TRUE(node.refusals.back().proved_not_run());
-    EXPECT_EQ(runs[fresh], 0);
+    EXPECT_EQ(runCounts[fresh], 0);
 }
 
-TEST_F(AtMostOnce, CallThatExpiredInTheQueueMayRunLater)
+TEST_F(AtMostOnce, CallThatExpiredInQueueMayRunLater)
 {
     auto &node = add("desk-1", {}, 1);
-    tellMembers();
+    announceMembers();
     send(node, request(newKey()));
     const auto key = newKey();
     send(node, request(key));
@@ -326,21 +323,20 @@
     EXPECT_EQ(lastReason(node), RefusalReason::DeadlinePassed);
     end(node, 0, CallOutcome::Complete);
     send(node, request(key, 2));
-    EXPECT_EQ(runs[key], 1);
+    EXPECT_EQ(runCounts[key], 1);
 }
 
-TEST_F(AtMostOnce, DrainHandsTheKeysOver)
+TEST_F(AtMostOnce, DrainTransfersKeys)
 {
-    // A sidecar is replaced in an upgrade. A repeat of an admission that it ran comes to the new owner within the
-    // window: it must get the kept answer, and a new key must run at once instead of waiting for the window.
+    // After a drain the new owner must replay kept answers, and run new keys without waiting for the key window.
     auto &first = add("desk-1");
-    tellMembers();
+    announceMembers();
     const auto key = newKey();
     send(first, request(key));
     end(first, 0, CallOutcome::Complete);
     auto &second = add("desk-2");
-    tellMembers();
-    first.decisions->drain(world.now());
+    announceMembers();
+    first.decisions->drain(cluster.now());
     run(Seconds(20));
     EXPECT_EQ(first.drained, 1);
     send(second, request(key, 2));
@@ -348,16 +344,16 @@
     EXPECT_EQ(second.replayed[0].answer->body, "admitted");
     const auto fresh = newKey();
     send(second, request(fresh));
-    EXPECT_EQ(runs[fresh], 1);
-    EXPECT_EQ(runs[key], 1);
+    EXPECT_EQ(runCounts[fresh], 1);
+    EXPECT_EQ(runCounts[key], 1);
 }
 
-TEST_F(AtMostOnce, DrainEndsAlthoughTheKeyValueServiceIsDown)
+TEST_F(AtMostOnce, DrainEndsWhileKeyValueServiceIsDown)
 {
     auto &node = add("desk-1");
-    tellMembers();
-    world.rule = [](const KvRequest &) { return KvFault::Down; };
-    node.decisions->drain(world.now());
+    announceMembers();
+    cluster.rule = [](const KvRequest &) { return KvFault::Down; };
+    node.decisions->drain(cluster.now());
     run(Seconds(40));
     EXPECT_EQ(node.drained, 1);
 }
--- a/tests/unit/residency_loads_test.cpp
+++ b/tests/unit/residency_loads_test.cpp
@@ -1,4 +1,4 @@
-// Grants of the load scheduler, loads without it, and who gives way.
+// Tests of load planning: scheduler grants, loads without a scheduler, and eviction.
 #include "residency_fixture.h"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST(ResidencyLoads, WaitsForTheSchedulerAndActsOnItsGrant)
+TEST(ResidencyLoads, LoadsOnSchedulerGrant)
 {
     SidecarFixture fixture;
     fixture.recover();
@@ -38,11 +38,11 @@
     fixture.advance(Milliseconds(100));
     EXPECT_TRUE(fixture.orders.empty());
     ASSERT_FALSE(fixture.heartbeats.empty());
-    const auto &told = fixture.heartbeats.back().second;
-    ASSERT_EQ(told.demands_size(), 1);
-    EXPECT_EQ(told.demands(0).adapter(), "lounge");
-    EXPECT_EQ(told.demands(0).waiting(), 1U);
-    EXPECT_TRUE(told.demands(0).evictable_slot());
+    const auto &heartbeat = fixture.heartbeats.back().second;
+    ASSERT_EQ(heartbeat.demands_size(), 1);
+    EXPECT_EQ(heartbeat.demands(0).adapter(), "lounge");
+    EXPECT_EQ(heartbeat.demands(0).waiting(), 1U);
+    EXPECT_TRUE(heartbeat.demands(0).evictable_slot());
     fixture.message(entry, grantFor(lounge, 5, 1));
     ASSERT_EQ(fixture.orders.size(), 1U);
     fixture.answerOrders();
@@ -50,10 +50,9 @@
     EXPECT_EQ(fixture.started.size(), 1U);
 }
 
-TEST(ResidencyLoads, GrantOfAnOldSchedulerIsFencedOff)
+TEST(ResidencyLoads, GrantFromOldSchedulerIsFencedOff)
 {
-    // A scheduler is paused past its lease and its successor has already granted loads. It wakes and sends what it had
-    // decided. Acted on, two schedulers would together exceed the weight store's rate and undo each other's choices.
+    // Guards against two schedulers that together exceed the weight store's rate after one was paused past its lease.
     SidecarFixture fixture;
     fixture.recover();
     fixture.hello(entry, true, 5);
@@ -63,10 +62,10 @@
     EXPECT_TRUE(fixture.orders.empty());
 }
 
-TEST(ResidencyLoads, GrantForAnEarlierStartIsNotActedOn)
+TEST(ResidencyLoads, GrantForEarlierIncarnationIsIgnored)
 {
-    // A sidecar restarts while a grant is on its way to it. The new start knows nothing of the demand behind it. Its
-    // answer must not look like a refusal of the weight store, for which the scheduler holds all grants back.
+    // A grant for an earlier incarnation must not be reported as a refusal by the weight store, which would make the
+    // scheduler withhold all grants.
     SidecarFixture fixture;
     fixture.recover();
     fixture.message(entry, grantFor(lounge, 5, 1, 49));
@@ -74,10 +73,9 @@
     EXPECT_TRUE(fixture.orders.empty());
 }
 
-TEST(ResidencyLoads, GrantThatFindsNoSlotInTimeExpires)
+TEST(ResidencyLoads, GrantExpiresWithoutFreeSlot)
 {
-    // A grant waits for a slot whose unload hangs. By then the scheduler has given the turn to somebody else, so that
-    // a late load would be a second one at the weight store.
+    // Guards against a late load beside the one that the scheduler has granted to another sidecar meanwhile.
     SidecarInit init;
     init.slots = 1;
     SidecarFixture fixture(init);
@@ -96,7 +94,7 @@
     EXPECT_EQ(fixture.takeOrder(OrderKind::Load).order, OrderHandle{});
 }
 
-TEST(ResidencyLoads, GrantBeforeRecoveryEndsIsNotActedOn)
+TEST(ResidencyLoads, GrantDuringRecoveryIsIgnored)
 {
     SidecarFixture fixture;
     fixture.start();
@@ -106,7 +104,7 @@
     EXPECT_EQ(fixture.takeOrder(OrderKind::Load).order, OrderHandle{});
 }
 
-TEST(ResidencyLoads, GrantThatComesTwiceLoadsOnce)
+TEST(ResidencyLoads, DuplicateGrantLoadsOnce)
 {
     SidecarFixture fixture;
     fixture.recover();
@@ -118,10 +116,9 @@
     EXPECT_EQ(fixture.loadResults.size(), 1U);
 }
 
-TEST(ResidencyLoads, GoesOnByItsShareWhenTheSchedulerFallsSilent)
+TEST(ResidencyLoads, LoadsAtOwnRateWithoutSchedulerMessages)
 {
-    // The load scheduler dies and nobody takes over for a while. If sidecars went on waiting for grants, calls of
-    // absent adapters would all miss their deadlines.
+    // Guards against calls on absent adapters missing their deadlines while no scheduler is running.
     SidecarFixture fixture;
     fixture.recover();
     std::vector<Member> members(8);
@@ -145,14 +142,14 @@
     EXPECT_EQ(fixture.started.size(), 4U);
 }
 
-TEST(ResidencyLoads, FirstDemandAfterAQuietTimeWaitsForTheGrant)
+TEST(ResidencyLoads, FirstDemandAfterIdleWaitsForGrant)
 {
-    // A scheduler speaks only to sidecars that have demands. After a quiet hour its silence is no sign of its death: a
-    // sidecar that loaded at once by itself would go past the weight store's rate, and so would all others.
+    // A scheduler sends messages only to sidecars with demands. Guards against suspecting it after an idle period and
+    // exceeding the weight store's rate.
     SidecarFixture fixture;
     fixture.recover();
     fixture.hello(entry, true, 5);
-    fixture.hello(entry); // the same process greets as an entry as well
+    fixture.hello(entry); // the same process also sends a Hello as an entry
     fixture.advance(std::chrono::hours(1));
     fixture.call(lounge);
     fixture.advance(Seconds(1));
@@ -164,7 +161,7 @@
     EXPECT_EQ(fixture.orders.size(), 1U);
 }
 
-TEST(ResidencyLoads, SchedulerThatGrantsNothingIsNotWaitedForForEver)
+TEST(ResidencyLoads, LoadsWithoutGrantAfterTimeout)
 {
     SidecarFixture fixture;
     fixture.recover();
@@ -179,7 +176,7 @@
     EXPECT_EQ(fixture.orders.size(), 1U);
 }
 
-TEST(ResidencyLoads, FreedSlotIsToldAtOnceToAWaitingScheduler)
+TEST(ResidencyLoads, FreedSlotIsReportedToSchedulerAtOnce)
 {
     SidecarInit init;
     init.slots = 1;
@@ -199,9 +196,9 @@
     EXPECT_TRUE(fixture.heartbeats.back().second.demands(0).evictable_slot());
 }
 
-TEST(ResidencyLoads, PopularAdapterOutlivesOneUsedJustNow)
+TEST(ResidencyLoads, PopularAdapterIsKeptOverRecentlyUsedOne)
 {
-    // Recency alone would evict the popular adapter that paused for a second, and its next callers would all stall.
+    // Guards against evicting a popular adapter after a short idle time, as least-recently-used eviction would.
     SidecarInit init;
     init.slots = 2;
     SidecarFixture fixture(init);
@@ -225,8 +222,7 @@
 
 TEST(ResidencyLoads, NoThrashBetweenTwoAdaptersForOneSlot)
 {
-    // Two adapters alternate for one slot. Each call evicting the other's adapter would spend all time on loads. Calls
-    // are served in runs instead, and each waits no longer than a bound.
+    // Guards against spending all time on loads when two adapters alternate for one slot.
     SidecarInit init;
     init.slots = 1;
     SidecarFixture fixture(init);
@@ -248,10 +244,9 @@
     EXPECT_TRUE(fixture.engine.violations.empty());
 }
 
-// A call waits for an adapter while all slots hold adapters that were loaded a moment ago and that nobody uses. They
-// are protected against thrash for longer than the call's whole patience: it was refused at the end of it, though a
-// slot was idle all the time. Half of its patience is the most that it waits for the protection to end.
-TEST(ResidencyLoads, IdleAdapterGivesWayBeforeTheCallersPatienceIsOver)
+// Guards against refusing a call with a short deadline while an idle adapter is protected from eviction. The protection
+// ends after half of the call's time limit.
+TEST(ResidencyLoads, IdleAdapterIsEvictedBeforeCallDeadline)
 {
     SidecarInit init;
     init.slots = 1;
@@ -261,20 +256,18 @@
     fixture.answerOrders();
     ASSERT_EQ(fixture.started.size(), 1U);
     fixture.end(fixture.started.front().execution, CallOutcome::Complete);
-    const Duration patience = Milliseconds(800); // the protection of an adapter just loaded is a second
-    fixture.send(fixture.request(transit, patience));
+    const Duration callTimeout = Milliseconds(800); // shorter than the protection of 1 s after a load
+    fixture.send(fixture.request(transit, callTimeout));
     for (int i = 0; i < 20 && fixture.started.size() < 2; ++i) {
-        fixture.advance(patience / 20);
+        fixture.advance(callTimeout / 20);
         fixture.answerOrders();
     }
     EXPECT_EQ(fixture.started.size(), 2U);
     EXPECT_TRUE(fixture.engine.violations.empty());
 }
 
-// An adapter that is always in use takes no new calls, so that a starving call for another one gets its slot. Then the
-// starving caller leaves. The next call for the resident adapter must run: it waited out its whole patience before,
-// since nothing was planned any more while nobody waited for a load.
-TEST(ResidencyLoads, AdapterServesAgainWhenTheStarvingCallerHasLeft)
+// Guards against an adapter that yields to a starving call and refuses further calls after that caller has left.
+TEST(ResidencyLoads, AdapterServesAgainAfterStarvingCallerLeft)
 {
     SidecarInit init;
     init.slots = 1;
@@ -285,10 +278,10 @@
     ASSERT_EQ(fixture.started.size(), 1U);
     fixture.send(fixture.request(transit, Seconds(60)));
     fixture.advance(Seconds(10));
-    const auto held = fixture.request(lounge, Seconds(60));
-    fixture.send(held);
+    const auto blockedRequest = fixture.request(lounge, Seconds(60));
+    fixture.send(blockedRequest);
     ASSERT_EQ(fixture.started.size(), 1U) << "the adapter yields";
-    fixture.cancel(held.id());
+    fixture.cancel(blockedRequest.id());
     fixture.sidecar.onPeerLost(entry, fixture.now);
     fixture.collect();
     fixture.end(fixture.started.front().execution, CallOutcome::Cancelled);
@@ -296,10 +289,10 @@
     EXPECT_EQ(fixture.started.size(), 2U);
 }
 
-TEST(ResidencyLoads, UnpopularAdapterGetsItsTurnOnABusyEngine)
+TEST(ResidencyLoads, UnpopularAdapterIsServedOnBusyEngine)
 {
-    // All slots serve adapters that are never idle, so that none reaches zero pins. A call for another adapter would
-    // wait for ever; after the starvation bound one of them takes no new calls until it can be evicted.
+    // Guards against starvation when no resident adapter is ever idle: after the starvation bound one of them accepts
+    // no further calls until it can be evicted.
     SidecarInit init;
     init.slots = 2;
     SidecarFixture fixture(init);
--- a/tests/unit/residency_random_test.cpp
+++ b/tests/unit/residency_random_test.cpp
@@ -1,6 +1,5 @@
-// Random events against the sidecar's decisions, with an engine that keeps its own books. After each step the engine
-// must have found nothing wrong, the pins must cover what runs, no call may be answered twice, and the slots must
-// suffice; when all is quiet, no call may be lost.
+// Property tests of the sidecar with random events. After each step: no violation at the engine, pins cover all running
+// calls, no call is answered twice, no slot is overcommitted. At the end: no call is lost.
 #include "residency_fixture.h"
 
 #include <gtest/gtest.h>
@@ -16,23 +15,23 @@
     Call,
     CallKeyed,
     Repeat,
-    SendAgain, ///< the message comes twice
+    Duplicate, ///< sends the same message again
     Cancel,
     Advance,
     AdvanceLong,
     AnswerOrder,
-    MakeList, ///< the engine makes the list now; its reply comes later
-    LoseReply, ///< the order takes effect, its reply is lost
-    LoseOrder, ///< the order takes no effect, and no reply comes
-    DelayOrder, ///< no reply; the effect comes later, within the order's longest time
-    LandLate,
+    MakeList, ///< the engine creates the list now and replies later
+    LoseReply, ///< the order takes effect, but its reply is lost
+    LoseOrder, ///< the order takes no effect and has no reply
+    DelayOrder, ///< no reply; the order takes effect later, within its timeout
+    ApplyDelayed,
     RefuseOrder,
     FailOrder,
     EndComplete,
     EndFailed,
     EndCancelled,
-    EndBroken, ///< the connection breaks, the engine runs on
-    EngineDrops, ///< a call whose connection broke comes to its end
+    DisconnectCall, ///< the connection breaks, but the engine continues with the call
+    EngineEndsOrphans, ///< the engine finishes the calls whose connections broke
     EngineRestart,
     EngineReport,
     EngineLost,
@@ -43,48 +42,49 @@
     Count
 };
 
-class World
+/// Applies steps to a sidecar and its engine, and checks the invariants.
+class Simulation
 {
 public:
-    explicit World(const SidecarInit &init)
+    explicit Simulation(const SidecarInit &init)
         : fixture_(init)
         , orderTimeout_(init.orderTimeout)
         , slots_(init.slots)
     {
         fixture_.recover();
     }
-    void step(Step step, std::uint8_t argument)
+    void applyStep(Step step, std::uint8_t argument)
     {
-        dropOverdue();
-        const auto noticed = stats().engineRestarts;
+        dropExpiredOrders();
+        const auto detectedRestarts = stats().engineRestarts;
         run(step, argument);
-        if (stats().engineRestarts > noticed) {
-            fixture_.engine.restartUnnoticed = false;
+        if (stats().engineRestarts > detectedRestarts) {
+            fixture_.engine.isRestartUndetected = false;
         }
         fixture_.collect();
-        noteEvents();
+        recordEvents();
     }
     void settle()
     {
         for (int i = 0; i < 120; ++i) {
-            dropOverdue();
+            dropExpiredOrders();
             fixture_.answerOrders();
-            while (!open_.empty()) {
-                end(open_.begin()->first, CallOutcome::Complete, FailureReason::None, true);
+            while (!openExecutions_.empty()) {
+                end(openExecutions_.begin()->first, CallOutcome::Complete, FailureReason::None, true);
             }
             fixture_.engine.running.clear();
             fixture_.advance(Seconds(1));
-            noteEvents();
+            recordEvents();
         }
     }
-    /// What is wrong now; empty if nothing is.
-    std::string fault() const
+    /// Returns a violated invariant, or an empty string if there is none.
+    std::string findViolation() const
     {
         if (!fixture_.engine.violations.empty()) {
             return fixture_.engine.violations.front();
         }
-        if (!fault_.empty()) {
-            return fault_;
+        if (!violation_.empty()) {
+            return violation_;
         }
         std::uint32_t occupied = 0;
         std::uint32_t pins = 0;
@@ -96,20 +96,20 @@
             return "more adapters than slots";
         }
         const auto running = fixture_.sidecar.stats().running;
-        if (pins < running || (pins != running && !uncounted_)) {
+        if (pins < running || (pins != running && !hasUntrackedCalls_)) {
             return "pins do not match the open calls";
         }
-        const bool twice = std::ranges::any_of(
-            answers_, [](const auto &entry) { return entry.second.started + entry.second.refused > 1; });
-        return twice ? "a call was answered twice" : "";
+        const bool isAnsweredTwice = std::ranges::any_of(
+            answerCounts_, [](const auto &entry) { return entry.second.started + entry.second.refused > 1; });
+        return isAnsweredTwice ? "a call was answered twice" : "";
     }
-    /// When all is quiet.
-    std::string lastFault() const
+    /// As findViolation(), but also detects lost calls. For use after settle().
+    std::string findFinalViolation() const
     {
-        const bool lost = std::ranges::any_of(answers_, [](const auto &entry) {
-            return !entry.second.excused && entry.second.started + entry.second.refused != 1;
+        const bool isLost = std::ranges::any_of(answerCounts_, [](const auto &entry) {
+            return !entry.second.mayBeUnanswered && entry.second.started + entry.second.refused != 1;
         });
-        return lost || stats().queued != 0 ? "a call was lost" : fault();
+        return isLost || stats().queued != 0 ? "a call was lost" : findViolation();
     }
     const SidecarStats &stats() const
     {
@@ -117,11 +117,11 @@
     }
 
 private:
-    struct Answers
+    struct AnswerCounts
     {
-        std::uint32_t started = 0; ///< given to the engine, or attached to what was
+        std::uint32_t started = 0; ///< sent to the engine or attached to an execution
         std::uint32_t refused = 0;
-        bool excused = false; ///< cancelled, or its sidecar or entry died: nobody waits for the answer
+        bool mayBeUnanswered = false; ///< cancelled, or its sidecar or entry was lost
     };
     using Attempt = std::pair<std::uint64_t, std::uint32_t>;
 
@@ -135,8 +135,8 @@
     }
     void send(const wire::CallRequest &request)
     {
-        answers_[attemptOf(request.id())];
-        sent_.push_back(request);
+        answerCounts_[attemptOf(request.id())];
+        sentRequests_.push_back(request);
         fixture_.send(request);
     }
     void run(Step step, std::uint8_t argument)
@@ -150,21 +150,21 @@
             return send(request);
         }
         case Step::Repeat:
-            if (!sent_.empty()) {
-                auto request = sent_[argument % sent_.size()];
+            if (!sentRequests_.empty()) {
+                auto request = sentRequests_[argument % sentRequests_.size()];
                 request.mutable_id()->set_attempt(++lastAttempt_);
                 send(request);
             }
             return;
-        case Step::SendAgain:
-            if (!sent_.empty()) {
-                fixture_.send(sent_[argument % sent_.size()]);
+        case Step::Duplicate:
+            if (!sentRequests_.empty()) {
+                fixture_.send(sentRequests_[argument % sentRequests_.size()]);
             }
             return;
         case Step::Cancel:
-            if (!sent_.empty()) {
-                const auto &id = sent_[argument % sent_.size()].id();
-                answers_[attemptOf(id)].excused = true;
+            if (!sentRequests_.empty()) {
+                const auto &id = sentRequests_[argument % sentRequests_.size()].id();
+                answerCounts_[attemptOf(id)].mayBeUnanswered = true;
                 fixture_.cancel(id);
             }
             return;
@@ -175,8 +175,8 @@
         case Step::Grant:
             return grant(argument);
         case Step::PeerLost:
-            for (auto &[attempt, answers] : answers_) {
-                answers.excused = true;
+            for (auto &[attempt, counts] : answerCounts_) {
+                counts.mayBeUnanswered = true;
             }
             return fixture_.sidecar.onPeerLost(entry, fixture_.now);
         case Step::Drain:
@@ -189,11 +189,11 @@
     }
     void runOrder(Step step, std::uint8_t argument)
     {
-        if (step == Step::LandLate) {
-            if (!late_.empty()) {
-                const auto place = late_.begin() + argument % late_.size();
-                fixture_.engine.apply(*place);
-                late_.erase(place);
+        if (step == Step::ApplyDelayed) {
+            if (!delayedOrders_.empty()) {
+                const auto it = delayedOrders_.begin() + argument % delayedOrders_.size();
+                fixture_.engine.apply(*it);
+                delayedOrders_.erase(it);
             }
             return;
         }
@@ -201,7 +201,7 @@
             return;
         }
         if (step == Step::MakeList) {
-            return fixture_.makeLists();
+            return fixture_.prepareLists();
         }
         if (step == Step::AnswerOrder) {
             fixture_.answerOrder();
@@ -209,12 +209,12 @@
         }
         const SentOrder order = fixture_.orders.front();
         fixture_.orders.erase(fixture_.orders.begin());
-        const bool effective = order.kind == OrderKind::Load || order.kind == OrderKind::Unload;
+        const bool hasEffect = order.kind == OrderKind::Load || order.kind == OrderKind::Unload;
         if (step == Step::LoseReply) {
             fixture_.engine.apply(order);
         }
-        if (step == Step::DelayOrder && effective) {
-            late_.push_back(order);
+        if (step == Step::DelayOrder && hasEffect) {
+            delayedOrders_.push_back(order);
         }
         if (step == Step::RefuseOrder || step == Step::FailOrder) {
             return fixture_.reply(order, step == Step::RefuseOrder ? OrderOutcome::Refused : OrderOutcome::Failed);
@@ -232,16 +232,16 @@
             return endOne(argument, CallOutcome::Failed, FailureReason::EndpointError, true);
         case Step::EndCancelled:
             return endOne(argument, CallOutcome::Cancelled, FailureReason::CallerGone, true);
-        case Step::EndBroken:
-            uncounted_ = true;
+        case Step::DisconnectCall:
+            hasUntrackedCalls_ = true;
             return endOne(argument, CallOutcome::Unknown, FailureReason::EndpointCut, false);
-        case Step::EngineDrops:
+        case Step::EngineEndsOrphans:
             std::erase_if(fixture_.engine.running,
-                          [&](const RunningCall &call) { return !open_.contains(call.execution); });
+                          [&](const RunningCall &call) { return !openExecutions_.contains(call.execution); });
             return;
         case Step::EngineRestart:
-            uncounted_ = true;
-            late_.clear();
+            hasUntrackedCalls_ = true;
+            delayedOrders_.clear();
             fixture_.orders.clear();
             return fixture_.engine.restart();
         case Step::EngineReport:
@@ -264,76 +264,76 @@
     }
     void restartSidecar()
     {
-        // Connections of the old process close; the engine may run their calls on for a while.
-        uncounted_ = true;
+        // The connections of the old process close, but the engine may continue with their calls.
+        hasUntrackedCalls_ = true;
         for (const auto &order : std::exchange(fixture_.orders, {})) {
             if (order.kind == OrderKind::Load || order.kind == OrderKind::Unload) {
-                late_.push_back(order);
+                delayedOrders_.push_back(order);
             }
         }
-        for (auto &[attempt, answers] : answers_) {
-            answers.excused = true;
+        for (auto &[attempt, counts] : answerCounts_) {
+            counts.mayBeUnanswered = true;
         }
-        open_.clear();
+        openExecutions_.clear();
         ++incarnation_;
-        fixture_.engine.restartUnnoticed = false;
+        fixture_.engine.isRestartUndetected = false;
         fixture_.restartSidecar();
-        // The new process knows nothing of earlier messages: they are not sent to it again.
-        sent_.clear();
+        // The new process has no state for earlier messages, so they must not be sent to it again.
+        sentRequests_.clear();
     }
-    /// The endpoint promises that an order takes effect within its longest time or not at all.
-    void dropOverdue()
+    /// Drops orders past their timeout: the endpoint guarantees that they no longer take effect.
+    void dropExpiredOrders()
     {
-        const auto overdue = [this](const SentOrder &order) {
+        const auto isExpired = [this](const SentOrder &order) {
             return order.kind != OrderKind::List && order.sentAt + orderTimeout_ <= fixture_.now.mono;
         };
-        std::erase_if(late_, overdue);
-        std::erase_if(fixture_.orders, overdue);
+        std::erase_if(delayedOrders_, isExpired);
+        std::erase_if(fixture_.orders, isExpired);
     }
-    void endOne(std::uint8_t argument, CallOutcome outcome, FailureReason failure, bool atEngine)
+    void endOne(std::uint8_t argument, CallOutcome outcome, FailureReason failure, bool endsAtEngine)
     {
-        if (open_.empty()) {
+        if (openExecutions_.empty()) {
             return;
         }
-        auto place = open_.begin();
-        std::advance(place, argument % open_.size());
-        end(place->first, outcome, failure, atEngine);
+        auto it = openExecutions_.begin();
+        std::advance(it, argument % openExecutions_.size());
+        end(it->first, outcome, failure, endsAtEngine);
     }
-    void end(ExecutionHandle execution, CallOutcome outcome, FailureReason failure, bool atEngine)
+    void end(ExecutionHandle execution, CallOutcome outcome, FailureReason failure, bool endsAtEngine)
     {
-        open_.erase(execution);
-        fixture_.end(execution, outcome, failure, atEngine);
-        noteEvents();
+        openExecutions_.erase(execution);
+        fixture_.end(execution, outcome, failure, endsAtEngine);
+        recordEvents();
     }
-    void noteEvents()
+    void recordEvents()
     {
         for (const auto &start : std::exchange(fixture_.started, {})) {
-            ++answers_[attemptOf(start.request.id())].started;
-            open_[start.execution] = true;
+            ++answerCounts_[attemptOf(start.request.id())].started;
+            openExecutions_[start.execution] = true;
         }
         for (const auto &attach : std::exchange(fixture_.attached, {})) {
-            ++answers_[attemptOf(attach.id)].started;
+            ++answerCounts_[attemptOf(attach.id)].started;
         }
         for (const auto &refused : std::exchange(fixture_.refusals, {})) {
             if (!refused.proved_not_run()) {
-                fault_ = "a refusal without proof";
+                violation_ = "a refusal without proof";
             }
-            ++answers_[attemptOf(refused.id())].refused;
+            ++answerCounts_[attemptOf(refused.id())].refused;
         }
     }
 
     SidecarFixture fixture_;
     Duration orderTimeout_;
     std::uint32_t slots_;
-    std::map<Attempt, Answers> answers_;
-    std::map<ExecutionHandle, bool> open_;
-    std::vector<wire::CallRequest> sent_;
-    std::vector<SentOrder> late_;
+    std::map<Attempt, AnswerCounts> answerCounts_;
+    std::map<ExecutionHandle, bool> openExecutions_;
+    std::vector<wire::CallRequest> sentRequests_;
+    std::vector<SentOrder> delayedOrders_;
     std::uint64_t lastGrant_ = 0;
     std::uint64_t incarnation_ = 50;
     std::uint32_t lastAttempt_ = 1;
-    std::string fault_;
-    bool uncounted_ = false; // calls may run that the decisions can't count by executions
+    std::string violation_;
+    bool hasUntrackedCalls_ = false; // calls may run for which the sidecar has no execution
 };
 
 using Steps = std::vector<std::pair<std::uint8_t, std::uint8_t>>;
@@ -348,28 +348,40 @@
     return init;
 }
 
-/// Most steps are ordinary work; a drain or a restart is rare enough that something happens in between.
+/// Most steps are ordinary; drains and restarts are rare, so that other events occur between them.
 Step stepOf(std::uint8_t number)
 {
-    constexpr std::array ordinary{Step::Call,        Step::Call,      Step::CallKeyed,   Step::AnswerOrder,
-                                  Step::AnswerOrder, Step::Advance,   Step::AdvanceLong, Step::EndComplete,
-                                  Step::MakeList,    Step::EndBroken, Step::EngineDrops, Step::LoseReply,
-                                  Step::DelayOrder,  Step::LandLate,  Step::Cancel,      Step::Repeat};
-    constexpr std::uint8_t rare = 200;
-    return number < rare ? ordinary[number % ordinary.size()] : static_cast<Step>(number % enumCount<Step>);
+    constexpr std::array ordinary{Step::Call,
+                                  Step::Call,
+                                  Step::CallKeyed,
+                                  Step::AnswerOrder,
+                                  Step::AnswerOrder,
+                                  Step::Advance,
+                                  Step::AdvanceLong,
+                                  Step::EndComplete,
+                                  Step::MakeList,
+                                  Step::DisconnectCall,
+                                  Step::EngineEndsOrphans,
+                                  Step::LoseReply,
+                                  Step::DelayOrder,
+                                  Step::ApplyDelayed,
+                                  Step::Cancel,
+                                  Step::Repeat};
+    constexpr std::uint8_t firstRareNumber = 200;
+    return number < firstRareNumber ? ordinary[number % ordinary.size()] : static_cast<Step>(number % enumCount<Step>);
 }
 
 std::string runSteps(const SidecarInit &init, const Steps &steps)
 {
-    World world(init);
+    Simulation simulation(init);
     for (const auto &[number, argument] : steps) {
-        world.step(stepOf(number), argument);
-        if (auto fault = world.fault(); !fault.empty()) {
-            return fault;
+        simulation.applyStep(stepOf(number), argument);
+        if (auto violation = simulation.findViolation(); !violation.empty()) {
+            return violation;
         }
     }
-    world.settle();
-    return world.lastFault();
+    simulation.settle();
+    return simulation.findFinalViolation();
 }
 
 rc::Gen<Steps> genSteps()
@@ -377,67 +389,68 @@
     return rc::gen::resize(400, rc::gen::arbitrary<Steps>());
 }
 
-/// The first fault that random sequences find; empty if they find none.
-std::string searchFault(const SidecarInit &init)
+/// Returns the first violation found by random sequences, or an empty string.
+std::string searchViolation(const SidecarInit &init)
 {
-    constexpr int sequences = 3000;
-    constexpr std::size_t length = 120;
+    constexpr int sequenceCount = 3000;
+    constexpr std::size_t stepCount = 120;
     Random random(20261202);
-    for (int i = 0; i < sequences; ++i) {
+    for (int i = 0; i < sequenceCount; ++i) {
         Steps steps;
-        for (std::size_t n = 0; n < length; ++n) {
+        for (std::size_t n = 0; n < stepCount; ++n) {
             const auto bits = random.next();
             steps.emplace_back(static_cast<std::uint8_t>(bits), static_cast<std::uint8_t>(bits >> 8));
         }
-        if (auto fault = runSteps(init, steps); !fault.empty()) {
-            return fault;
+        if (auto violation = runSteps(init, steps); !violation.empty()) {
+            return violation;
         }
     }
     return {};
 }
 
-struct Disabled
+struct DisabledSafeguard
 {
     std::string_view name;
     bool Safeguards::*safeguard;
     bool checksFence;
 };
 
-class ResidencyWithout : public testing::TestWithParam<Disabled>
+class ResidencyWithoutSafeguard : public testing::TestWithParam<DisabledSafeguard>
 {
 };
 
 } // namespace
 
-RC_GTEST_PROP(ResidencyRandom, HoldsOnAnEndpointThatChecksFences, ())
+RC_GTEST_PROP(ResidencyRandom, InvariantsHoldWithFencing, ())
 {
     RC_ASSERT(runSteps(smallInit(true), *genSteps()) == "");
 }
 
-RC_GTEST_PROP(ResidencyRandom, HoldsOnAnEndpointThatIgnoresFences, ())
+RC_GTEST_PROP(ResidencyRandom, InvariantsHoldWithoutFencing, ())
 {
     RC_ASSERT(runSteps(smallInit(false), *genSteps()) == "");
 }
 
-// The checks above can fail: with a safeguard off, random sequences find the fault that it prevents.
-TEST_P(ResidencyWithout, IsFoundOut)
+// Shows that the invariant checks detect the failure that each safeguard prevents.
+TEST_P(ResidencyWithoutSafeguard, ViolationIsDetected)
 {
     SidecarInit init = smallInit(GetParam().checksFence);
     init.safeguards.*GetParam().safeguard = false;
-    const auto fault = searchFault(init);
-    EXPECT_NE(fault, "");
-    RecordProperty("fault", fault);
+    const auto violation = searchViolation(init);
+    EXPECT_NE(violation, "");
+    RecordProperty("fault", violation);
 }
 
-INSTANTIATE_TEST_SUITE_P(Safeguards, ResidencyWithout,
-                         testing::Values(Disabled{"pinBeforeSend", &Safeguards::pinBeforeSend, true},
-                                         Disabled{"evictOnlyUnpinned", &Safeguards::evictOnlyUnpinned, true},
-                                         Disabled{"unknownEndKeepsPin", &Safeguards::unknownEndKeepsPin, true},
-                                         Disabled{"unknownAfterLostReply", &Safeguards::unknownAfterLostReply, true},
-                                         Disabled{"listAfterChange", &Safeguards::listAfterChange, true},
-                                         Disabled{"recoveryWait", &Safeguards::recoveryWait, false},
-                                         Disabled{"fenceCheck", &Safeguards::fenceCheck, true},
-                                         Disabled{"duplicateFilter", &Safeguards::duplicateFilter, true}),
+INSTANTIATE_TEST_SUITE_P(Safeguards, ResidencyWithoutSafeguard,
+                         testing::Values(DisabledSafeguard{"pinBeforeSend", &Safeguards::pinBeforeSend, true},
+                                         DisabledSafeguard{"evictOnlyUnpinned", &Safeguards::evictOnlyUnpinned, true},
+                                         DisabledSafeguard{"unknownEndKeepsPin", &Safeguards::unknownEndKeepsPin, true},
+                                         DisabledSafeguard{"unknownAfterLostReply", &Safeguards::unknownAfterLostReply,
+                                                           true},
+                                         DisabledSafeguard{"listAfterChange", &Safeguards::listAfterChange, true},
+                                         DisabledSafeguard{"recoveryWait", &Safeguards::recoveryWait, false},
+                                         DisabledSafeguard{"fenceCheck", &Safeguards::fenceCheck, true},
+                                         DisabledSafeguard{"duplicateFilter", &Safeguards::duplicateFilter, true}),
                          [](const auto &test) { return std::string(test.param.name); });
 
 } // namespace anvilscale::test
--- a/tests/unit/residency_test.cpp
+++ b/tests/unit/residency_test.cpp
@@ -1,4 +1,4 @@
-// The sidecar's decisions in ordinary work: admission, loads, the batch, repeats, cancels, drain.
+// Tests of the sidecar without faults: admission, loads, batch limit, repeats, cancels, heartbeats and drain.
 #include "residency_fixture.h"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 
 namespace anvilscale::test {
 
-TEST(Residency, LoadsOnDemandAndServesAllWhoWait)
+TEST(Residency, LoadsOnDemandAndServesAllWaitingCalls)
 {
     SidecarFixture fixture;
     fixture.recover();
@@ -31,7 +31,7 @@
     EXPECT_TRUE(fixture.engine.violations.empty());
 }
 
-TEST(Residency, KeepsToTheBatchLimit)
+TEST(Residency, RespectsBatchLimit)
 {
     SidecarInit init;
     init.batchLimit = 2;
@@ -46,7 +46,7 @@
     EXPECT_EQ(fixture.started.size(), 3U);
 }
 
-TEST(Residency, UrgentCallsGoFirst)
+TEST(Residency, UrgentCallsStartFirst)
 {
     SidecarInit init;
     init.batchLimit = 1;
@@ -65,10 +65,9 @@
     EXPECT_EQ(fixture.started[1].request.id().call(), urgent.id().call());
 }
 
-TEST(Residency, BulkCallIsNotHeldForEverByUrgentOnes)
+TEST(Residency, BulkCallIsNotStarvedByUrgentCalls)
 {
-    // A caller with a bulk call sees no answer while urgent calls keep coming, because each of them is taken first.
-    // The wait must be bounded: after two starvation bounds the bulk call ranks as urgent and has the older deadline.
+    // Guards against starvation: after two starvation bounds the bulk call ranks as urgent with an earlier deadline.
     SidecarInit init;
     init.batchLimit = 1;
     SidecarFixture fixture(init);
@@ -90,7 +89,7 @@
     EXPECT_TRUE(served);
 }
 
-TEST(Residency, RefusesWhatIsNotItsOwn)
+TEST(Residency, RefusesUnknownServiceAndExpiredCall)
 {
     SidecarFixture fixture;
     fixture.recover();
@@ -108,8 +107,7 @@
 
 TEST(Residency, RepeatAttachesToTheRunningExecution)
 {
-    // A caller that timed out sends its call again. Run as a new execution it would wait behind the whole queue and
-    // time out again; attached to the running one it gets that answer, and the engine does the work once.
+    // Guards against running a caller's repeat as a second execution, which would queue and time out again.
     SidecarFixture fixture;
     fixture.recover();
     auto first = fixture.request(lounge);
@@ -118,7 +116,7 @@
     fixture.answerOrder();
     ASSERT_EQ(fixture.started.size(), 1U);
     fixture.cancel(first.id());
-    EXPECT_TRUE(fixture.cancelled.empty()) << "the cancel waits for a repeat";
+    EXPECT_TRUE(fixture.cancelled.empty()) << "the cancel is deferred for a repeat";
     auto repeat = first;
     repeat.mutable_id()->set_attempt(2);
     fixture.send(repeat, otherEntry);
@@ -129,7 +127,7 @@
     EXPECT_EQ(fixture.sidecar.stats().executions, 1U);
 }
 
-TEST(Residency, CancelComesAfterTheDelayIfNobodyAttaches)
+TEST(Residency, DeferredCancelFiresWithoutRepeat)
 {
     SidecarFixture fixture;
     fixture.recover();
@@ -148,10 +146,9 @@
     EXPECT_EQ(fixture.cancelled.size(), 2U);
 }
 
-TEST(Residency, MessageThatComesTwiceRunsOnce)
+TEST(Residency, DuplicateOfRefusedRequestDoesNotRun)
 {
-    // The copy of a request arrives after the first one was refused as "not run". If it ran, the caller would have
-    // been told a falsehood, and its retry would be a second execution.
+    // Guards against running a duplicate after its first copy was refused as "not run".
     SidecarFixture fixture;
     const auto request = fixture.request(lounge);
     fixture.start();
@@ -166,7 +163,7 @@
     EXPECT_EQ(fixture.sidecar.stats().droppedMessages, 1U);
 }
 
-TEST(Residency, CancelThatOvertakesItsCallKeepsItFromRunning)
+TEST(Residency, CancelBeforeItsCallPreventsExecution)
 {
     SidecarFixture fixture;
     fixture.recover();
@@ -208,7 +205,7 @@
     EXPECT_EQ(fixture.sidecar.stats().refusals.of(RefusalReason::QueueFull), 2U);
 }
 
-TEST(Residency, DrainFinishesWhatRunsAndRefusesTheRest)
+TEST(Residency, DrainFinishesRunningCallsAndRefusesOthers)
 {
     SidecarInit init;
     init.batchLimit = 1;
@@ -229,7 +226,7 @@
     EXPECT_EQ(fixture.drained, 1);
 }
 
-TEST(Residency, PlainServiceGetsCallsUpToItsBatch)
+TEST(Residency, PlainServiceRespectsBatchLimit)
 {
     SidecarInit init;
     init.kind = EndpointKind::Service;
@@ -274,14 +271,14 @@
     EXPECT_EQ(fixture.heartbeats.back().second.adapters_size(), 1);
 }
 
-TEST(Residency, HeartbeatsKeepToTheControlBudget)
+TEST(Residency, HeartbeatsStayWithinControlBudget)
 {
     SidecarFixture fixture;
     fixture.recover();
     for (std::uint64_t peer = 1; peer <= 20; ++peer) {
         fixture.hello(PeerHandle{peer});
     }
-    const auto before = fixture.sidecar.stats().heartbeatBytes;
+    const auto bytesBefore = fixture.sidecar.stats().heartbeatBytes;
     constexpr int seconds = 60;
     for (int i = 0; i < seconds * 10; ++i) {
         const auto call = fixture.call(i % 2 == 0 ? lounge : transit);
@@ -293,18 +290,16 @@
         EXPECT_FALSE(fixture.refusalOf(call));
         fixture.advance(Milliseconds(100));
         for (std::uint64_t peer = 1; peer <= 20; ++peer) {
-            // The budget is not kept by falling silent: nobody comes near the time after which silence is suspect.
-            EXPECT_LE(fixture.now.mono - fixture.lastHeard.at(PeerHandle{peer}), Timing().suspect / 2);
+            // Heartbeats must stay frequent enough that no receiver suspects the sidecar.
+            EXPECT_LE(fixture.now.mono - fixture.lastReceivedAt.at(PeerHandle{peer}), Timing().suspect / 2);
         }
     }
-    const auto spent = fixture.sidecar.stats().heartbeatBytes - before;
-    EXPECT_LE(spent, 5000U * seconds + 10'000U);
+    const auto sentBytes = fixture.sidecar.stats().heartbeatBytes - bytesBefore;
+    EXPECT_LE(sentBytes, 5000U * seconds + 10'000U);
 }
 
-// The process is stopped while a call waits for its adapter, and the VM is marked as leaving meanwhile. On waking the
-// load's answer is read before anything else, and the call would reach an endpoint that left long ago. It must go
-// back as not run instead.
-TEST(Residency, CallsThatWaitedThroughAPauseGoBackAsNotRun)
+// Guards against sending a call that waited during a pause of the process to an endpoint that may have left meanwhile.
+TEST(Residency, WaitingCallsAreRefusedAfterPause)
 {
     SidecarFixture fixture;
     fixture.recover();
@@ -318,10 +313,9 @@
     EXPECT_TRUE(fixture.refusals.back().proved_not_run());
 }
 
-// The process is stopped for seconds and its VM is marked as leaving meanwhile. An entry that did not know yet has sent
-// a call, which is read on waking, before the list of VMs. It must go back as not run: started, it would reach an
-// endpoint that left long ago. After the time in which the list is read again, calls are taken as before.
-TEST(Residency, CallsThatLayUnreadThroughAPauseGoBackAsNotRun)
+// Guards against starting calls that were received during a pause and are read before the VM list, which may mark the
+// endpoint as leaving. Calls are accepted again after the time in which the list is read.
+TEST(Residency, UnreadCallsAreRefusedAfterPause)
 {
     SidecarFixture fixture;
     fixture.recover();
@@ -341,22 +335,20 @@
     EXPECT_EQ(fixture.started.size(), 2U);
 }
 
-// The process may be stopped between its decision to start a call and the send. Whoever sends must know how long the
-// decision is good for, or the call reaches an engine that has restarted without the adapter, or that is leaving.
-TEST(Residency, AStartIsGoodForAShortTimeOnly)
+// Guards against sending a call after a pause to an engine that has restarted without the adapter or is leaving.
+TEST(Residency, StartExecutionHasSendDeadline)
 {
     SidecarFixture fixture;
     fixture.recover();
     fixture.call(lounge);
     fixture.answerOrders();
     ASSERT_EQ(fixture.started.size(), 1U);
-    EXPECT_EQ(fixture.started.front().sendBefore, fixture.now.mono + sendLimit);
+    EXPECT_EQ(fixture.started.front().sendBefore, fixture.now.mono + maxSendDelay);
 }
 
-// At 180 sidecars a data centre, whole heartbeats take an entry seven times its control budget. While nothing but the
-// load changes a sidecar sends a Beat of a few bytes; what an entry decides on (residency, leaving, a demand for the
-// scheduler) still goes at once and whole.
-TEST(Residency, OnlyLoadChangedIsToldByABeat)
+// Guards against exceeding an entry's control budget: load changes are sent as small beats. Changes of residency, drain
+// and demands are sent at once as heartbeats.
+TEST(Residency, LoadChangesAreSentAsBeats)
 {
     SidecarFixture fixture;
     fixture.recover();
@@ -384,13 +376,12 @@
     fixture.sidecar.drain(fixture.now);
     fixture.collect();
     fixture.advance(Milliseconds(600));
-    ASSERT_FALSE(fixture.heartbeats.empty()) << "leaving is not left to the next whole heartbeat";
+    ASSERT_FALSE(fixture.heartbeats.empty()) << "a drain is reported without waiting for the next regular heartbeat";
     EXPECT_TRUE(fixture.heartbeats.back().second.leaving());
 }
 
-// The scheduler weighs demands. A sidecar that no longer has any must say so: a Beat would leave the last demand in
-// the scheduler's table, which would grant a load that nobody waits for.
-TEST(Residency, SchedulerHearsWhenADemandIsOver)
+// Guards against a stale demand at the scheduler, which would grant a load without waiting calls.
+TEST(Residency, SchedulerIsNotifiedWhenDemandEnds)
 {
     SidecarFixture fixture;
     fixture.recover();
--- a/tests/unit/residency_versions_test.cpp
+++ b/tests/unit/residency_versions_test.cpp
@@ -1,4 +1,4 @@
-// Which version runs: calls resolved at older and newer revisions, a switch while calls wait and run, loading ahead.
+// Tests of version resolution: older and newer revisions, version switches and prefetch.
 #include "config.pb.h"
 #include "residency_fixture.h"
 
@@ -10,14 +10,14 @@
 
 config::Change recordOf(const std::string &json)
 {
-    const auto change = parseRecord(json);
-    EXPECT_TRUE(change) << change.error().path << ": " << change.error().detail;
-    return change ? *change : config::Change();
+    const auto parsed = parseRecord(json);
+    EXPECT_TRUE(parsed) << parsed.error().path << ": " << parsed.error().detail;
+    return parsed ? *parsed : config::Change();
 }
 
 const AdapterVersion loungeV2{"lounge", "v2"};
 
-/// A sidecar with a configuration in which `route-lounge` names lounge@v1, at revision 1.
+/// Sidecar with a configuration at revision 1 in which `route-lounge` names lounge@v1.
 class Versions : public testing::Test
 {
 protected:
@@ -26,13 +26,13 @@
     {
         fixture.recover();
     }
-    void route(const std::string &version, const std::string &next = "")
+    void setRoute(const std::string &version, const std::string &next = "")
     {
-        const std::string tail = next.empty() ? "" : R"(,"nextVersion":")" + next + "\"";
-        change({R"({"schemaVersion":2,"name":"route-lounge","route":{"adapter":"lounge","version":")" + version + "\""
-                + tail + "}}"});
+        const std::string nextVersionField = next.empty() ? "" : R"(,"nextVersion":")" + next + "\"";
+        applyChange({R"({"schemaVersion":2,"name":"route-lounge","route":{"adapter":"lounge","version":")" + version
+                     + "\"" + nextVersionField + "}}"});
     }
-    void change(const std::vector<std::string> &records)
+    void applyChange(const std::vector<std::string> &records)
     {
         config::Delta delta;
         delta.set_revision(store.revision() + 1);
@@ -81,11 +81,10 @@
     EXPECT_EQ(fixture.orders[0].weights, "store://lounge/v1");
 }
 
-TEST_F(Versions, StaleEntryCannotHaveTheOldVersionRun)
+TEST_F(Versions, StaleEntryCannotRunOldVersion)
 {
-    // The operators switch lounge to v2. An entry that missed the change resolves at revision 1 and asks for v1: its
-    // caller would get a ruling of the old version long after the change was in force elsewhere.
-    route("v2");
+    // Guards against answers of a replaced version when an entry missed the change.
+    setRoute("v2");
     const auto request = requestAt(lounge, 1);
     fixture.send(request);
     EXPECT_EQ(fixture.refusalOf(request.id().call()), RefusalReason::StaleRevision);
@@ -94,48 +93,47 @@
     EXPECT_TRUE(fixture.orders.empty());
 }
 
-TEST_F(Versions, OlderRevisionThatNamesTheSameVersionRuns)
+TEST_F(Versions, OlderRevisionWithSameVersionRuns)
 {
-    change({R"({"schemaVersion":2,"name":"other","route":{"adapter":"lounge","version":"v2"}})"});
+    applyChange({R"({"schemaVersion":2,"name":"other","route":{"adapter":"lounge","version":"v2"}})"});
     const auto request = requestAt(lounge, 1);
     fixture.send(request);
     EXPECT_FALSE(fixture.refusalOf(request.id().call()));
 }
 
-TEST_F(Versions, SidecarThatIsBehindFetchesFirst)
+TEST_F(Versions, SidecarBehindFetchesConfigurationFirst)
 {
-    // The entry knows revision 2, the sidecar does not yet. It must not run the call by its own older configuration;
-    // it asks the entry, and the call goes on as soon as the answer is there.
+    // A sidecar with an older revision must fetch the newer one from the entry before it runs the call.
     const auto request = requestAt(loungeV2, 2);
     fixture.send(request);
-    ASSERT_EQ(fixture.others.size(), 1U);
-    EXPECT_EQ(fixture.others[0].to, entry);
-    EXPECT_EQ(fixture.others[0].message.config_fetch().have_revision(), 1U);
+    ASSERT_EQ(fixture.otherMessages.size(), 1U);
+    EXPECT_EQ(fixture.otherMessages[0].to, entry);
+    EXPECT_EQ(fixture.otherMessages[0].message.config_fetch().have_revision(), 1U);
     EXPECT_TRUE(fixture.orders.empty());
     fixture.advance(Milliseconds(300));
-    EXPECT_EQ(fixture.others.size(), 2U) << "asked again: the first question may be lost";
-    route("v2");
+    EXPECT_EQ(fixture.otherMessages.size(), 2U) << "requested again: the first request may be lost";
+    setRoute("v2");
     EXPECT_FALSE(fixture.refusalOf(request.id().call()));
     ASSERT_EQ(fixture.orders.size(), 1U);
     EXPECT_EQ(fixture.orders[0].which, loungeV2);
 }
 
-TEST_F(Versions, HeldCallIsRefusedWhenTheConfigurationDoesNotCome)
+TEST_F(Versions, HeldCallIsRefusedIfConfigurationDoesNotArrive)
 {
     const auto request = requestAt(loungeV2, 2, Seconds(2));
     fixture.send(request);
     fixture.advance(Milliseconds(600));
     EXPECT_EQ(fixture.refusalOf(request.id().call()), RefusalReason::RevisionBehind);
     EXPECT_TRUE(fixture.refusals.back().proved_not_run());
-    route("v2");
+    setRoute("v2");
     EXPECT_TRUE(fixture.orders.empty());
 }
 
-TEST_F(Versions, WaitingCallOfTheOldVersionIsHandedBackAtTheSwitch)
+TEST_F(Versions, WaitingCallOfOldVersionIsRefusedAtSwitch)
 {
     const auto request = requestAt(lounge, 1);
     fixture.send(request);
-    route("v2");
+    setRoute("v2");
     EXPECT_EQ(fixture.refusalOf(request.id().call()), RefusalReason::StaleRevision);
     fixture.answerOrders();
     EXPECT_TRUE(fixture.started.empty());
@@ -145,7 +143,7 @@
 {
     fixture.send(requestAt(lounge, 1));
     fixture.answerOrders();
-    route("v2");
+    setRoute("v2");
     fixture.send(requestAt(loungeV2, 2));
     fixture.advance(Seconds(1));
     fixture.answerOrders();
@@ -155,17 +153,17 @@
     EXPECT_TRUE(fixture.cancelled.empty());
 }
 
-TEST_F(Versions, NextVersionIsLoadedAheadIntoAFreeSlot)
+TEST_F(Versions, NextVersionIsPrefetchedIntoFreeSlot)
 {
     fixture.send(requestAt(lounge, 1));
     fixture.answerOrders();
     fixture.end(fixture.started[0].execution, CallOutcome::Complete);
-    route("v1", "v2");
+    setRoute("v1", "v2");
     fixture.advance(Seconds(1));
     fixture.answerOrders();
     EXPECT_EQ(fixture.residency(loungeV2), ResidencyState::Resident);
     EXPECT_EQ(fixture.residency(lounge), ResidencyState::Resident);
-    route("v2");
+    setRoute("v2");
     fixture.send(requestAt(loungeV2, 3));
     EXPECT_EQ(fixture.started.size(), 2U) << "no stall at the switch";
 }
