--- a/include/anvilscale/daemon.h
+++ b/include/anvilscale/daemon.h
@@ -1,5 +1,4 @@
-// Daemon library: the two roles of anvilscaled as processes. It owns threads, sockets and clocks, and joins the
-// libraries that decide to those that talk. Each role has one thread for control state; traffic has its own.
+// Daemon library: the roles of anvilscaled as processes with their threads, sockets and clocks.
 #pragma once
 
 #include "settings.pb.h"
@@ -15,10 +14,10 @@
 enum class StartErrorKind : std::uint8_t {
     ControlAddress, ///< the control socket cannot be bound
     HttpAddress,
-    LockHeld, ///< another sidecar runs on this VM
+    LockHeld, ///< another sidecar is running on this VM
     Endpoint,
     PortFile,
-    Mechanism, ///< the settings switch off a mechanism that there is not
+    Mechanism, ///< the settings disable a mechanism that does not exist
     Count
 };
 template<>
@@ -31,27 +30,27 @@
 struct StartError
 {
     StartErrorKind kind = StartErrorKind::ControlAddress;
-    std::string path; ///< of the setting, e.g. "control.port"
-    std::string detail; ///< for people
+    std::string path; ///< path of the setting, e.g. "control.port"
+    std::string detail; ///< human-readable description
 };
 
-/// One process of either role.
+/// A process in one of the roles of anvilscaled.
 class Daemon
 {
 public:
-    /// Takes all sockets, or none: on an error nothing runs.
+    /// Binds all sockets. On an error none stays bound and nothing runs.
     static tl::expected<std::unique_ptr<Daemon>, StartError> create(const settings::Settings &settings);
     ~Daemon();
     Daemon(const Daemon &) = delete;
     Daemon &operator=(const Daemon &) = delete;
 
     void start();
-    /// Takes no new work and lets calls in progress end, however long they take. Further calls do nothing.
+    /// Stops accepting work and lets calls in progress finish, without a time limit. Further calls have no effect.
     void drain();
-    /// Takes over what may change while the process runs: the level of the log and, on the direct path, how the store
-    /// is followed. Whatever else has changed is logged as waiting for a restart.
+    /// Applies the settings that may change at runtime: the log level and, on the direct path, the store. Other changes
+    /// are logged as requiring a restart.
     void reload(const settings::Settings &settings);
-    /// Returns once a drain has ended and everything is closed.
+    /// Blocks until a drain has finished, then closes everything.
     void wait();
     std::uint16_t controlPort() const;
     std::uint16_t httpPort() const;
@@ -65,11 +64,10 @@
 /// Exit codes of anvilscaled.
 constexpr int exitDone = 0;
 constexpr int exitUsage = 1;
-constexpr int exitRejected = 2; ///< settings, or an address or lock that is taken
+constexpr int exitRejected = 2; ///< invalid settings, or an address or lock that is in use
 
-/// Runs a daemon until it has drained after SIGTERM or SIGINT. SIGHUP, or a change of the settings file without a
-/// signal, reloads the settings; a file that is not valid is told and changes nothing. Signals must not be handled by
-/// anything else.
+/// Runs a daemon until it has drained after SIGTERM or SIGINT. Reloads the settings on SIGHUP and when the settings
+/// file changes; an invalid file is logged and has no effect. No other code may handle these signals.
 int runDaemon(const settings::Settings &settings, const std::string &settingsFile);
 
 } // namespace anvilscale
--- a/include/anvilscale/direct_path.h
+++ b/include/anvilscale/direct_path.h
@@ -1,4 +1,4 @@
-// What the direct path needs of a platform: the concept that an adapter to it meets, and the types they exchange.
+// Platform interface of the direct path: the concepts that an adapter satisfies and the types exchanged with it.
 #pragma once
 
 #include "anvilscale/direct.h"
@@ -8,7 +8,7 @@
 
 namespace anvilscale {
 
-/// Why a request cannot be a call at all.
+/// Why a request cannot be parsed as a call.
 enum class CallProblem : std::uint8_t {
     NoRequestId,
     BadTimeLeft,
@@ -22,12 +22,12 @@
                                                                                 "bad_model"};
 };
 
-/// What the head of an endpoint's answer says about the call.
+/// Meaning of the response head of an endpoint.
 enum class AnswerKind : std::uint8_t {
-    Success, ///< the endpoint's own, to be passed on
-    OwnFailure, ///< the endpoint's own, after it has run the call
-    Refused, ///< it says that it has not run the call
-    Foreign, ///< of another request, or no answer of an endpoint at all
+    Success, ///< response of the endpoint, forwarded to the caller
+    OwnFailure, ///< error response of the endpoint after it ran the call
+    Refused, ///< the endpoint reports that it has not run the call
+    Foreign, ///< response to another request, or not from an endpoint
     Count
 };
 template<>
@@ -41,68 +41,70 @@
 {
     AnswerKind kind = AnswerKind::Foreign;
     EndpointRefusal refusal = EndpointRefusal::None;
-    bool events = false; ///< an event stream: passed on as it comes
-    EndpointNotice notice; ///< empty in answers of another endpoint than the one meant
+    bool events = false; ///< an event stream: forwarded as it arrives
+    EndpointNotice notice; ///< empty if another endpoint than the addressed one answered
 };
 
-/// How the store took a call.
+/// Result of a call to the store.
 enum class StoreStatus : std::uint8_t {
     Ok,
-    HistoryGone, ///< what a watch asks for is no longer kept: everything is to be read again
-    Missing, ///< there is no such record or lease
-    Unavailable, ///< it did nothing
+    HistoryGone, ///< the history requested by a watch has been compacted: a full read is needed
+    Missing, ///< the record or lease does not exist
+    Unavailable, ///< the store has not performed the call
     Count
 };
 
-/// A revision means nothing without its era: a store that is restored from a copy gives revisions out again.
+/// Position in the history of the store. Revisions are comparable only within an era: a store restored from a backup
+/// reuses them.
 struct StorePosition
 {
-    std::uint64_t era = 0; ///< rises with each restore; 0: not told
+    std::uint64_t era = 0; ///< increases with each restore; 0 if unknown
     std::uint64_t revision = 0;
 };
 
-/// Part of the store, in the project's terms.
+/// One page of the store's records.
 struct StorePage
 {
     std::vector<StoreRecord> records;
-    std::uint64_t revision = 0; ///< of the store
-    bool more = false; ///< further pages follow after `lastKey`
+    std::uint64_t revision = 0; ///< revision of the store
+    bool more = false; ///< further pages follow `lastKey`
     std::string lastKey;
-    std::size_t rejected = 0; ///< records that could not be read, and were passed over
+    std::size_t rejected = 0; ///< unreadable records, which were skipped
 };
 
-/// One change as the store wrote it, to be passed on, and what it says.
+/// One change in the store, parsed and in its encoded form.
 struct StoreItem
 {
     StoreRecord record;
-    std::uint64_t revision = 0; ///< of the store, at the change
+    std::uint64_t revision = 0; ///< revision of the store at the change
     std::string text;
 };
 
-/// Changes that the store has told, in its order.
+/// Changes of the store in revision order.
 struct StoreChanges
 {
-    std::uint64_t revision = 0; ///< of the store, up to which these are all
-    std::vector<StoreItem> items; ///< without those that the system has no use for
+    std::uint64_t revision = 0; ///< revision up to which the changes are complete
+    std::vector<StoreItem> items; ///< without records that the system does not use
 };
 
-/// A crash report under a name of its own. Written again under that name it takes the place of the one before.
+/// A crash report with its unique name. Writing the same name again replaces the report.
 struct NamedCrashReport
 {
     std::string name;
     CrashReport report;
 };
 
-/// The part of an adapter that speaks to the platform's store.
+/// Requests to the store and parsing of its responses.
 template<class T>
 concept StoreDialect = requires(const std::string &text, Duration span, std::uint64_t number,
                                 const HttpResponseHead &head)
 {
-    /// Of any answer of the store; 0: not told.
+    /// Era of the store from the head of any response; 0 if unknown.
     {
         T::storeEra(head)
         } -> std::same_as<std::uint64_t>;
-    /// Records behind a key. `mayBeOld`: as of some seconds ago, which the store gives at a tenth of the price.
+    /// Reads the records after a key. `mayBeOld`: accepts data that is some seconds old, which costs the store about a
+    /// tenth.
     {
         T::rangeRequest(text, bool{})
         } -> std::same_as<EndpointRequest>;
@@ -120,22 +122,22 @@
         } -> std::same_as<StoreStatus>;
 };
 
-/// The part that lets one process watch the store for others.
+/// Operations with which one process watches the store for others.
 template<class T>
 concept SharedStoreDialect = StoreDialect<T> && requires(const std::string &text, std::uint64_t number,
                                                          const std::vector<std::string> &texts)
 {
-    /// Of the answer to a watch.
+    /// Splits the response to a watch into its changes.
     {
         T::splitWatch(text)
         } -> std::same_as<std::optional<StoreChanges>>;
-    /// Such an answer again, for readWatch.
+    /// Joins changes into a response that readWatch parses.
     {
         T::joinWatch(number, texts)
         } -> std::same_as<std::string>;
 };
 
-/// The part that writes crash reports. A call that was not answered may be made again.
+/// Requests that write crash reports. All of them may be repeated if unanswered.
 template<class T>
 concept CrashReportDialect = requires(const std::string &text, Duration span, std::uint64_t number,
                                       const std::vector<NamedCrashReport> &reports)
@@ -143,11 +145,11 @@
     {
         T::leaseRequest(span)
         } -> std::same_as<EndpointRequest>;
-    /// No value for a body that names no lease.
+    /// Returns no value if the body names no lease.
     {
         T::readLease(text)
         } -> std::same_as<std::optional<std::uint64_t>>;
-    /// All reports or none; they lapse with the lease.
+    /// Writes all reports or none. They expire with the lease.
     {
         T::crashReportsRequest(reports, number)
         } -> std::same_as<EndpointRequest>;
@@ -156,7 +158,7 @@
         } -> std::same_as<StoreStatus>;
 };
 
-/// An adapter to a platform. No state, no I/O.
+/// Adapter of the direct path to a platform. Stateless, no I/O.
 template<class T>
 concept DirectDialect = SharedStoreDialect<T> && CrashReportDialect<T> && requires(
     const HttpRequestData &request, const SendCall &send, const HttpResponseHead &head, const EngineOrder &order,
--- a/src/daemon/caller_api.cpp
+++ b/src/daemon/caller_api.cpp
@@ -1,4 +1,4 @@
-// Reading of callers' requests.
+// Parsing of callers' HTTP requests.
 #include "caller_api.h"
 
 #include "caller_reply.h"
@@ -13,19 +13,19 @@
 namespace {
 
 constexpr std::string_view servicePrefix = "/v1/services/";
-constexpr std::uint64_t longestDeadlineMs = 24ULL * 3600 * 1000;
+constexpr std::uint64_t maxDeadlineMs = 24ULL * 3600 * 1000;
 constexpr std::uint32_t notFound = 404;
 constexpr std::uint32_t methodNotAllowed = 405;
 
-// Headers that are ours, or that a caller must not hand to an endpoint: an order's fencing number would look like
-// the sidecar's own.
-constexpr std::array<std::string_view, 4> ownHeaders{"idempotency-key", "x-deadline-ms", "x-caller", "x-fencing-token"};
+// Headers that are not forwarded: endpoints would take a caller's fencing token for the sidecar's.
+constexpr std::array<std::string_view, 4> reservedHeaders{"idempotency-key", "x-deadline-ms", "x-caller",
+                                                          "x-fencing-token"};
 
 struct FixedPath
 {
     std::string_view method;
     std::string_view path;
-    ApiPath what;
+    ApiPath apiPath;
 };
 constexpr std::array fixedPaths{
     FixedPath{"GET", "/healthz", ApiPath::Health},
@@ -36,39 +36,40 @@
 };
 constexpr std::array<std::string_view, 2> modelPaths{"/v1/completions", "/v1/chat/completions"};
 
-HttpReply badRequest(std::string_view message)
+HttpReply badRequestReply(std::string_view message)
 {
     return refusalReply(RefusalReason::BadRequest, message);
 }
 
-HttpReply withStatus(std::uint32_t status, std::string_view message)
+HttpReply errorWithStatus(std::uint32_t status, std::string_view message)
 {
-    auto reply = badRequest(message);
+    auto reply = badRequestReply(message);
     reply.status = status;
     return reply;
 }
 
-bool isPassedOn(std::string_view name)
+bool isForwardedHeader(std::string_view name)
 {
     const auto lower = Poco::toLower(std::string(name));
-    return !isHopByHop(lower) && std::find(ownHeaders.begin(), ownHeaders.end(), lower) == ownHeaders.end();
+    return !isHopByHop(lower)
+           && std::find(reservedHeaders.begin(), reservedHeaders.end(), lower) == reservedHeaders.end();
 }
 
-std::string headerOf(const HttpHeaders &headers, std::string_view name)
+std::string headerValue(const HttpHeaders &headers, std::string_view name)
 {
     const auto *value = findHeader(headers, name);
     return value == nullptr ? std::string() : *value;
 }
 
-/// Takes over what every call has. Returns false for a deadline that is no number.
-bool readCommon(const HttpRequestData &request, const CallerApiLimits &limits, CallerRequest &call)
+/// Reads the fields common to all calls. Returns false if the deadline is not a valid number.
+bool readCommonFields(const HttpRequestData &request, const CallerApiLimits &limits, CallerRequest &call)
 {
-    call.key = headerOf(request.headers, "Idempotency-Key");
-    call.caller = headerOf(request.headers, "X-Caller");
+    call.key = headerValue(request.headers, "Idempotency-Key");
+    call.caller = headerValue(request.headers, "X-Caller");
     call.creditBytes = limits.creditBytes;
     call.method = request.method;
     for (const auto &header : request.headers) {
-        if (isPassedOn(header.first)) {
+        if (isForwardedHeader(header.first)) {
             call.headers.push_back(header);
         }
     }
@@ -76,34 +77,34 @@
     if (deadline == nullptr) {
         return true;
     }
-    std::uint64_t ms = 0;
+    std::uint64_t milliseconds = 0;
     const auto *end = deadline->data() + deadline->size();
-    const auto [stop, error] = std::from_chars(deadline->data(), end, ms);
-    if (error != std::errc() || stop != end || ms == 0 || ms > longestDeadlineMs) {
+    const auto [parsedEnd, error] = std::from_chars(deadline->data(), end, milliseconds);
+    if (error != std::errc() || parsedEnd != end || milliseconds == 0 || milliseconds > maxDeadlineMs) {
         return false;
     }
-    call.deadline = Milliseconds(ms);
+    call.deadline = Milliseconds(milliseconds);
     return true;
 }
 
 ApiRequest readModelRequest(HttpRequestData request, const CallerApiLimits &limits)
 {
     if (request.method != "POST") {
-        return withStatus(methodNotAllowed, "calls of models are made by POST");
+        return errorWithStatus(methodNotAllowed, "model calls require the method POST");
     }
-    const auto facts = readModelCall(request.body, limits.jsonDepth);
-    if (!facts) {
-        return bodyProblemReply(facts.error());
+    const auto info = readModelCall(request.body, limits.jsonDepth);
+    if (!info) {
+        return bodyErrorReply(info.error());
     }
     CallerRequest call;
-    if (!readCommon(request, limits, call)) {
-        return badRequest("X-Deadline-Ms is not a number of milliseconds");
+    if (!readCommonFields(request, limits, call)) {
+        return badRequestReply("X-Deadline-Ms is not a valid number of milliseconds");
     }
-    call.route = facts->model;
-    call.stream = facts->stream;
-    call.maxTokens = facts->maxTokens;
-    call.promptTokens = facts->promptTokens;
-    call.prefixHash = facts->prefixHash;
+    call.route = info->model;
+    call.stream = info->stream;
+    call.maxTokens = info->maxTokens;
+    call.promptTokens = info->promptTokens;
+    call.prefixHash = info->prefixHash;
     call.path = std::move(request.target);
     call.body = std::move(request.body);
     return call;
@@ -111,17 +112,17 @@
 
 ApiRequest readServiceRequest(HttpRequestData request, const CallerApiLimits &limits)
 {
-    const std::string_view rest = std::string_view(request.target).substr(servicePrefix.size());
-    const auto end = std::min(rest.find_first_of("/?"), rest.size());
+    const std::string_view remainder = std::string_view(request.target).substr(servicePrefix.size());
+    const auto end = std::min(remainder.find_first_of("/?"), remainder.size());
     CallerRequest call;
-    call.service = std::string(rest.substr(0, end));
+    call.service = std::string(remainder.substr(0, end));
     if (call.service.empty()) {
-        return withStatus(notFound, "the path names no service");
+        return errorWithStatus(notFound, "the path contains no service name");
     }
-    if (!readCommon(request, limits, call)) {
-        return badRequest("X-Deadline-Ms is not a number of milliseconds");
+    if (!readCommonFields(request, limits, call)) {
+        return badRequestReply("X-Deadline-Ms is not a valid number of milliseconds");
     }
-    const auto path = rest.substr(end);
+    const auto path = remainder.substr(end);
     call.path = path.starts_with('/') ? std::string(path) : "/" + std::string(path);
     call.body = std::move(request.body);
     return call;
@@ -138,17 +139,17 @@
     if (std::find(modelPaths.begin(), modelPaths.end(), path) != modelPaths.end()) {
         return readModelRequest(std::move(request), limits);
     }
-    bool known = false;
-    for (const auto &fixed : fixedPaths) {
-        if (fixed.path == path) {
-            known = true;
-            if (fixed.method == request.method) {
-                return fixed.what;
+    bool isKnownPath = false;
+    for (const auto &entry : fixedPaths) {
+        if (entry.path == path) {
+            isKnownPath = true;
+            if (entry.method == request.method) {
+                return entry.apiPath;
             }
         }
     }
-    return known ? withStatus(methodNotAllowed, "this path takes another method")
-                 : withStatus(notFound, "there is nothing at this path");
+    return isKnownPath ? errorWithStatus(methodNotAllowed, "method not allowed for this path")
+                       : errorWithStatus(notFound, "unknown path");
 }
 
 } // namespace anvilscale
--- a/src/daemon/caller_api.h
+++ b/src/daemon/caller_api.h
@@ -1,4 +1,4 @@
-// The paths that callers use, and how an HTTP request becomes a call. No I/O.
+// HTTP paths for callers, and conversion of HTTP requests to calls. No I/O.
 #pragma once
 
 #include "anvilscale/net.h"
@@ -12,18 +12,19 @@
     Health,
     Ready,
     Metrics,
-    Models, ///< the operators' routes
+    Models, ///< lists the configured routes
     NewKey,
     Count
 };
 
+/// Limits on the requests of callers.
 struct CallerApiLimits
 {
     std::uint32_t jsonDepth = 32;
-    std::uint64_t creditBytes = 0; ///< bytes of an answer that may be under way to a caller
+    std::uint64_t creditBytes = 0; ///< maximum of response bytes in transit to a caller
 };
 
-/// A path of the process itself, a call, or the answer to a request that is neither.
+/// A fixed path, a call, or the reply to an invalid request.
 using ApiRequest = std::variant<ApiPath, CallerRequest, HttpReply>;
 ApiRequest readApiRequest(HttpRequestData request, const CallerApiLimits &limits);
 
--- a/src/daemon/caller_reply.cpp
+++ b/src/daemon/caller_reply.cpp
@@ -1,4 +1,4 @@
-// Status codes, texts and JSON of errors towards callers.
+// HTTP status codes, messages and JSON bodies of errors returned to callers.
 #include "caller_reply.h"
 
 #include <Poco/JSON/Object.h>
@@ -15,35 +15,35 @@
     std::string_view message;
 };
 
-constexpr std::array<RefusalInfo, enumCount<RefusalReason>> refusalTable{{
-    {500, "the call was turned down"},
-    {400, "the request is not valid"},
+constexpr std::array<RefusalInfo, enumCount<RefusalReason>> refusalReplies{{
+    {500, "the call was refused"},
+    {400, "the request is invalid"},
     {404, "no route of this name is configured"},
     {404, "no service of this name is configured"},
-    {503, "too many calls wait"},
+    {503, "too many calls are queued"},
     {503, "the deadline cannot be met"},
     {504, "the deadline has passed"},
-    {503, "no endpoint takes this call now"},
-    {503, "the endpoint is leaving"},
+    {503, "no endpoint is available for this call"},
+    {503, "the endpoint is draining"},
     {503, "the call was resolved at an older revision of the configuration"},
-    {503, "the endpoint is behind in its configuration"},
-    {503, "the adapter version cannot be loaded and is set aside"},
-    {503, "the adapter version cannot be loaded now"},
+    {503, "the configuration of the endpoint is out of date"},
+    {503, "the adapter version failed to load and is quarantined"},
+    {503, "the adapter version cannot be loaded at present"},
     {503, "the endpoint cannot be reached"},
     {503, "the owner of this key has changed"},
-    {503, "no owner takes this key now"},
-    {400, "calls of this service need an Idempotency-Key; POST /v1/idempotency-keys gives one"},
+    {503, "no owner is available for this key"},
+    {400, "calls of this service need an Idempotency-Key; POST /v1/idempotency-keys creates one"},
     {400, "the Idempotency-Key is not a UUIDv7"},
-    {409, "the Idempotency-Key is too old to tell whether its call has run"},
-    {400, "the Idempotency-Key is stamped in the future"},
-    {503, "no more idempotency keys can be kept now"},
-    {422, "the Idempotency-Key was used with another request"},
+    {409, "the Idempotency-Key is too old to determine whether its call has run"},
+    {400, "the timestamp of the Idempotency-Key is in the future"},
+    {503, "the table of idempotency keys is full"},
+    {422, "the Idempotency-Key was used with a different request"},
     {503, "the endpoint's sidecar has just started"},
-    {503, "no further attempt is made: the budget for retries is spent"},
+    {503, "the call is not retried: the retry budget is exhausted"},
     {503, "too many connections"},
-    {503, "the caller has left"},
-    {503, "the configuration is not known yet"},
-    {500, "a fault of our own"},
+    {503, "the caller has disconnected"},
+    {503, "the configuration has not been loaded yet"},
+    {500, "internal error"},
 }};
 
 struct FailureInfo
@@ -52,40 +52,40 @@
     std::string_view message;
 };
 
-constexpr std::array<FailureInfo, enumCount<FailureReason>> failureTable{{
+constexpr std::array<FailureInfo, enumCount<FailureReason>> failureReplies{{
     {500, "the call failed"},
     {502, "the endpoint reported an error"},
     {502, "the endpoint cannot be reached"},
-    {502, "the endpoint's answer broke off"},
+    {502, "the response of the endpoint was truncated"},
     {502, "the endpoint was restarted"},
     {502, "the connection to the endpoint's sidecar was lost"},
     {504, "the deadline has passed"},
-    {500, "the caller has left"},
-    {500, "the caller took its answer too slowly"},
-    {502, "the answer did not arrive whole"},
+    {500, "the caller has disconnected"},
+    {500, "the caller read the response too slowly"},
+    {502, "the response was incomplete"},
 }};
 
-constexpr std::array<std::string_view, enumCount<HttpProblem>> problemTable{
+constexpr std::array<std::string_view, enumCount<HttpProblem>> httpErrorMessages{
     "",
-    "the head of the request is not valid",
-    "the head of the request is too large",
-    "the body of the request is not framed as its head says",
-    "the body of the request is too large",
-    "this transfer encoding is not supported",
-    "this expectation is not supported",
-    "the head of the request did not arrive in time",
-    "the body of the request did not arrive in time",
+    "the request head is invalid",
+    "the request head is too large",
+    "the framing of the request body does not match the request head",
+    "the request body is too large",
+    "the transfer encoding is not supported",
+    "the expectation is not supported",
+    "timeout while receiving the request head",
+    "timeout while receiving the request body",
     "too many connections",
 };
 
-constexpr std::array<std::string_view, enumCount<BodyProblem>> bodyProblemTable{
+constexpr std::array<std::string_view, enumCount<BodyProblem>> bodyErrorMessages{
     "",
     "the body is not JSON",
     "the body is not UTF-8",
     "the body is nested too deeply",
     "the body is not a JSON object",
-    "\"model\" is missing; it names the route",
-    "a member of the body stands twice",
+    "\"model\" is missing; its value is the name of the route",
+    "the body contains a duplicate member",
     "a member of the body has the wrong type",
 };
 
@@ -112,13 +112,13 @@
 
 HttpReply errorReply(const CallError &error, std::string_view message)
 {
-    const bool refused = error.refusal != RefusalReason::None;
-    const auto &refusal = refusalTable[static_cast<std::size_t>(error.refusal)];
-    const auto &failure = failureTable[static_cast<std::size_t>(error.failure)];
-    const auto type = refused ? toString(error.refusal) : toString(error.failure);
-    const auto text = !message.empty() ? message : refused ? refusal.message : failure.message;
+    const bool isRefused = error.refusal != RefusalReason::None;
+    const auto &refusal = refusalReplies[static_cast<std::size_t>(error.refusal)];
+    const auto &failure = failureReplies[static_cast<std::size_t>(error.failure)];
+    const auto type = isRefused ? toString(error.refusal) : toString(error.failure);
+    const auto text = !message.empty() ? message : isRefused ? refusal.message : failure.message;
     auto reply =
-        jsonReply(refused ? refusal.status : failure.status, errorBody(type, error.verdict, text, error.attempts));
+        jsonReply(isRefused ? refusal.status : failure.status, errorBody(type, error.verdict, text, error.attempts));
     if (error.retryAfter > Duration(0)) {
         const auto seconds = std::chrono::ceil<Seconds>(error.retryAfter).count();
         reply.headers.emplace_back("Retry-After", std::to_string(seconds));
@@ -134,21 +134,21 @@
     return errorReply(error, message);
 }
 
-HttpReply problemReply(HttpProblem problem)
+HttpReply httpErrorReply(HttpProblem httpError)
 {
-    const bool limit = problem == HttpProblem::ConnectionLimit;
+    const bool isConnectionLimit = httpError == HttpProblem::ConnectionLimit;
     CallError error;
     error.verdict = Verdict::NotRun;
-    error.refusal = limit ? RefusalReason::ConnectionLimit : RefusalReason::BadRequest;
-    error.retryAfter = limit ? Duration(Seconds(1)) : Duration(0);
-    auto reply = errorReply(error, problemTable[static_cast<std::size_t>(problem)]);
-    reply.status = statusOf(problem);
+    error.refusal = isConnectionLimit ? RefusalReason::ConnectionLimit : RefusalReason::BadRequest;
+    error.retryAfter = isConnectionLimit ? Duration(Seconds(1)) : Duration(0);
+    auto reply = errorReply(error, httpErrorMessages[static_cast<std::size_t>(httpError)]);
+    reply.status = statusOf(httpError);
     return reply;
 }
 
-HttpReply bodyProblemReply(BodyProblem problem)
+HttpReply bodyErrorReply(BodyProblem bodyError)
 {
-    return refusalReply(RefusalReason::BadRequest, bodyProblemTable[static_cast<std::size_t>(problem)]);
+    return refusalReply(RefusalReason::BadRequest, bodyErrorMessages[static_cast<std::size_t>(bodyError)]);
 }
 
 } // namespace anvilscale
--- a/src/daemon/caller_reply.h
+++ b/src/daemon/caller_reply.h
@@ -1,4 +1,4 @@
-// The one form in which callers are told that a call did not go well.
+// Error replies to callers.
 #pragma once
 
 #include "anvilscale/net.h"
@@ -7,9 +7,9 @@
 namespace anvilscale {
 
 HttpReply errorReply(const CallError &error, std::string_view message = {});
-HttpReply problemReply(HttpProblem problem);
-HttpReply bodyProblemReply(BodyProblem problem);
-/// A call that is turned down before it reached the decisions.
+HttpReply httpErrorReply(HttpProblem httpError);
+HttpReply bodyErrorReply(BodyProblem bodyError);
+/// Reply to a call that is refused before it reaches EntryDecisions. An empty message selects the text of the reason.
 HttpReply refusalReply(RefusalReason reason, std::string_view message);
 HttpReply jsonReply(std::uint32_t status, std::string body);
 
--- a/src/daemon/control_loop.cpp
+++ b/src/daemon/control_loop.cpp
@@ -1,4 +1,4 @@
-// The control thread: events from other threads and timers, in turn.
+// Event loop of the control thread.
 #include "control_loop.h"
 
 #include "anvilscale/net.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Duration longestWait = Seconds(1);
+constexpr Duration maxWait = Seconds(1);
 
 } // namespace
 
@@ -35,11 +35,11 @@
     bool wasEmpty = false;
     {
         const std::lock_guard lock(mutex_);
-        wasEmpty = events_.empty();
-        events_.push_back(std::move(event));
+        wasEmpty = pendingEvents_.empty();
+        pendingEvents_.push_back(std::move(event));
     }
     if (wasEmpty) {
-        wake_.notify_one();
+        condition_.notify_one();
     }
 }
 
@@ -47,9 +47,9 @@
 {
     {
         const std::lock_guard lock(mutex_);
-        stopping_ = true;
+        isStopping_ = true;
     }
-    wake_.notify_one();
+    condition_.notify_one();
     if (thread_.joinable()) {
         thread_.join();
     }
@@ -60,35 +60,35 @@
     return timers_;
 }
 
-std::uint64_t ControlLoop::events() const
+std::uint64_t ControlLoop::handledEvents() const
 {
-    return handled_;
+    return handledEvents_;
 }
 
-std::vector<ControlLoop::Event> ControlLoop::takeEvents()
+std::vector<ControlLoop::Event> ControlLoop::waitForEvents()
 {
     const auto next = timers_.next();
-    const auto until = std::min(next.value_or(TimePoint::max()), EventLoop::now() + longestWait);
+    const auto deadline = std::min(next.value_or(TimePoint::max()), EventLoop::now() + maxWait);
     std::vector<Event> batch;
     std::unique_lock lock(mutex_);
-    while (events_.empty() && !stopping_) {
-        const auto left = until - EventLoop::now();
-        if (left <= Duration(0)) {
+    while (pendingEvents_.empty() && !isStopping_) {
+        const auto remaining = deadline - EventLoop::now();
+        if (remaining <= Duration(0)) {
             break;
         }
-        wake_.wait_for(lock, left);
+        condition_.wait_for(lock, remaining);
     }
-    batch.swap(events_);
+    batch.swap(pendingEvents_);
     return batch;
 }
 
 void ControlLoop::run()
 {
     while (true) {
-        const auto batch = takeEvents();
+        const auto batch = waitForEvents();
         {
             const std::lock_guard lock(mutex_);
-            if (stopping_) {
+            if (isStopping_) {
                 return;
             }
         }
@@ -96,7 +96,7 @@
         for (const auto &event : batch) {
             event(now);
         }
-        handled_ += batch.size();
+        handledEvents_ += batch.size();
         now = readClocks();
         timers_.advance(now.mono);
         afterBatch_(now);
--- a/src/daemon/control_loop.h
+++ b/src/daemon/control_loop.h
@@ -1,4 +1,4 @@
-// The thread that owns control state. All decisions of a process run here, one event after the other.
+// Thread that owns control state and handles events and timers one at a time.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -17,32 +17,32 @@
 public:
     using Event = std::function<void(Now)>;
 
-    /// `afterBatch` runs after each batch of events and timers: it carries out the actions that came of them.
+    /// `afterBatch` runs after each batch of events and timers and performs the resulting actions.
     explicit ControlLoop(std::function<void(Now)> afterBatch);
     ~ControlLoop();
     ControlLoop(const ControlLoop &) = delete;
     ControlLoop &operator=(const ControlLoop &) = delete;
 
     void start();
-    /// Any thread.
+    /// Thread-safe.
     void post(Event event);
-    /// Ends the thread. Events that wait are dropped. Not from the loop's thread.
+    /// Stops the thread and drops pending events. Must not be called from the loop's thread.
     void stop();
-    /// The loop's thread only.
+    /// Use from the loop's thread only.
     TimerService &timers();
-    std::uint64_t events() const;
+    std::uint64_t handledEvents() const;
 
 private:
     void run();
-    std::vector<Event> takeEvents();
+    std::vector<Event> waitForEvents();
 
     std::function<void(Now)> afterBatch_;
     TimerService timers_;
     std::mutex mutex_;
-    std::condition_variable wake_;
-    std::vector<Event> events_; // guarded by mutex_
-    bool stopping_ = false; // guarded by mutex_
-    std::atomic<std::uint64_t> handled_ = 0;
+    std::condition_variable condition_;
+    std::vector<Event> pendingEvents_; // guarded by mutex_
+    bool isStopping_ = false; // guarded by mutex_
+    std::atomic<std::uint64_t> handledEvents_ = 0;
     std::thread thread_;
 };
 
--- a/src/daemon/crash_reporter.h
+++ b/src/daemon/crash_reporter.h
@@ -1,5 +1,4 @@
-// Writes what an entry saw of crashes into the platform's store, from where all entries read it. Lives in the loop of
-// its HTTP client.
+// Writes crash reports of an entry to the platform's store, from which all entries read them.
 #pragma once
 
 #include "store_follower.h"
@@ -12,24 +11,25 @@
 
 struct CrashReporterInit
 {
-    std::string address; ///< of the store, "IP:PORT"
-    std::string name; ///< of this process: no other one has it, also no earlier one
+    std::string address; ///< address of the store, "IP:PORT"
+    std::string name; ///< unique name of this process, different from all earlier processes
     StoreTimes times;
     std::uint64_t seed = 1;
 };
 
+/// Handlers of a CrashReporter, called from the loop's thread.
 struct CrashReporterHandlers
 {
-    std::function<void(std::size_t reports)> written;
-    /// A call failed and will be made again. `first`: the one before did not fail.
-    std::function<void(StoreFailureKind, std::uint32_t status, bool first)> failed;
-    /// A report was given up for a newer one while the store was away.
+    std::function<void(std::size_t reports)> written; ///< number of reports written by one call
+    /// A call failed and is retried. `isFirst`: the call before it succeeded.
+    std::function<void(StoreFailureKind, std::uint32_t status, bool isFirst)> failed;
+    /// A report was dropped because the queue is full while the store is unavailable.
     std::function<void()> dropped;
 };
 
-/// Reports are kept and tried again until the store has taken them: an entry that starts later, or did not see the
-/// crash itself, knows it from there only. They lapse by a lease, so that nobody has to clean up after a process that
-/// has ended.
+/// Retries reports until the store has accepted them: entries that start later, or did not observe the crash, depend on
+/// the store. Reports expire with a lease, so a terminated process leaves none behind.
+/// Use from the loop's thread only.
 template<CrashReportDialect Dialect, class Loop = EventLoop, StoreClient Client = HttpClient>
 class CrashReporter
 {
@@ -41,177 +41,182 @@
         , handlers_(std::move(handlers))
         , random_(init.seed)
         , client_(loop, clientInit(init))
-        , retry_(init.times.firstRetry)
+        , retryDelay_(init.times.initialRetryDelay)
     {
     }
     ~CrashReporter()
     {
-        loop_.timers().cancel(timer_);
-        loop_.timers().cancel(silenceTimer_);
+        loop_.timers().cancel(nextCallTimer_);
+        loop_.timers().cancel(timeoutTimer_);
     }
     CrashReporter(const CrashReporter &) = delete;
     CrashReporter &operator=(const CrashReporter &) = delete;
 
     void report(CrashReport report)
     {
-        pending_.push_back({name_ + "-" + std::to_string(number_++ % mostNames), std::move(report)});
-        if (pending_.size() > mostNames) {
+        pending_.push_back({name_ + "-" + std::to_string(nextNumber_++ % maxNames), std::move(report)});
+        if (pending_.size() > maxNames) {
             pending_.pop_front();
             handlers_.dropped();
         }
-        if (!busy_) {
-            busy_ = true;
-            later(gatherTime);
+        if (!isBusy_) {
+            isBusy_ = true;
+            scheduleNext(batchDelay);
         }
     }
-    /// The store has lost its last writes and leases: all reports that still count are written once more.
-    void writeAgain()
+    /// Writes all unexpired reports again. Called when the store has lost its last writes and leases.
+    void rewriteReports()
     {
         lease_ = 0;
         const auto now = loop_.now();
-        while (!written_.empty() && now - written_.front().at >= crashReportLife) {
-            written_.pop_front();
+        while (!writtenReports_.empty() && now - writtenReports_.front().writtenAt >= crashReportLife) {
+            writtenReports_.pop_front();
         }
-        if (written_.empty()) {
+        if (writtenReports_.empty()) {
             return;
         }
-        std::deque<NamedCrashReport> all;
-        for (auto &one : std::exchange(written_, {})) {
-            all.push_back(std::move(one.report));
+        std::deque<NamedCrashReport> reports;
+        for (auto &written : std::exchange(writtenReports_, {})) {
+            reports.push_back(std::move(written.report));
         }
-        // Names that are used again by newer reports stay theirs.
-        std::erase_if(all, [this](const NamedCrashReport &old) {
-            return std::any_of(pending_.begin(), pending_.end(), [&](const auto &one) { return one.name == old.name; });
+        // A name that was reused belongs to the newer report.
+        std::erase_if(reports, [this](const NamedCrashReport &earlier) {
+            return std::any_of(pending_.begin(), pending_.end(),
+                               [&](const auto &pending) { return pending.name == earlier.name; });
         });
-        pending_.insert(pending_.begin(), std::make_move_iterator(all.begin()), std::make_move_iterator(all.end()));
-        if (!busy_) {
-            busy_ = true;
-            later(random_.jitter(times_.firstRetry)); // all entries see it at the same time
+        pending_.insert(pending_.begin(), std::make_move_iterator(reports.begin()),
+                        std::make_move_iterator(reports.end()));
+        if (!isBusy_) {
+            isBusy_ = true;
+            // The jitter prevents all entries from writing at the same time.
+            scheduleNext(random_.jitter(times_.initialRetryDelay));
         }
     }
 
 private:
-    struct Written
+    struct WrittenReport
     {
         NamedCrashReport report;
-        TimePoint at;
+        TimePoint writtenAt;
     };
 
-    // The calls that a crash breaks off end within milliseconds: their reports go out together.
-    static constexpr Duration gatherTime = Milliseconds(50);
-    // Names are used in turn: where answers break off all day long, the store does not fill up with reports of it.
-    static constexpr std::uint64_t mostNames = 64;
-    static constexpr std::size_t mostInOneCall = 32; // that the store takes
+    // The calls interrupted by one crash fail within milliseconds: their reports share one write.
+    static constexpr Duration batchDelay = Milliseconds(50);
+    // Names are reused in rotation, which bounds the number of reports in the store.
+    static constexpr std::uint64_t maxNames = 64;
+    static constexpr std::size_t maxReportsPerCall = 32; // limit of the store
 
     static HttpClientInit clientInit(const CrashReporterInit &init)
     {
         HttpClientInit result;
         result.address = init.address;
-        result.connectTimeout = init.times.silence;
+        result.connectTimeout = init.times.silenceTimeout;
         result.keepConnections = 0;
         return result;
     }
 
-    void next()
+    void writeNext()
     {
         if (pending_.empty()) {
-            busy_ = false;
+            isBusy_ = false;
             return;
         }
-        if (lease_ == 0 || loop_.now() >= leaseUntil_) {
-            takeLease();
+        if (lease_ == 0 || loop_.now() >= leaseUsableUntil_) {
+            requestLease();
         } else {
-            write();
+            writeReports();
         }
     }
 
-    void takeLease()
+    void requestLease()
     {
-        // It takes reports for half of its life, so that the last one still counts for the other half.
-        const auto life = crashReportLife;
-        call(Dialect::leaseRequest(life), [this, until = loop_.now() + life / 2](const std::string &body) {
-            const auto lease = Dialect::readLease(body);
-            if (!lease) {
-                onFailure(StoreFailureKind::Unreadable);
-                return;
-            }
-            lease_ = *lease;
-            leaseUntil_ = until;
-            next();
-        });
+        // Used for new reports for half of its duration, so that the last one is valid for the other half.
+        const auto leaseDuration = crashReportLife;
+        startCall(Dialect::leaseRequest(leaseDuration),
+                  [this, usableUntil = loop_.now() + leaseDuration / 2](const std::string &body) {
+                      const auto lease = Dialect::readLease(body);
+                      if (!lease) {
+                          onFailure(StoreFailureKind::Unreadable);
+                          return;
+                      }
+                      lease_ = *lease;
+                      leaseUsableUntil_ = usableUntil;
+                      writeNext();
+                  });
     }
 
-    void write()
+    void writeReports()
     {
-        const auto count = std::min(pending_.size(), mostInOneCall);
-        writing_.assign(pending_.begin(), pending_.begin() + static_cast<std::ptrdiff_t>(count));
-        call(Dialect::crashReportsRequest(writing_, lease_), [this](const std::string &) {
-            handlers_.written(writing_.size());
-            retry_ = times_.firstRetry;
-            failing_ = false;
-            keepWritten();
-            next();
+        const auto count = std::min(pending_.size(), maxReportsPerCall);
+        inFlight_.assign(pending_.begin(), pending_.begin() + static_cast<std::ptrdiff_t>(count));
+        startCall(Dialect::crashReportsRequest(inFlight_, lease_), [this](const std::string &) {
+            handlers_.written(inFlight_.size());
+            retryDelay_ = times_.initialRetryDelay;
+            isFailing_ = false;
+            markWritten();
+            writeNext();
         });
     }
 
-    /// Reports may have been added meanwhile, and old ones dropped.
-    void keepWritten()
+    /// Reports may have been added or dropped during the write.
+    void markWritten()
     {
-        for (auto &written : writing_) {
-            if (!pending_.empty() && pending_.front().name == written.name) {
+        for (auto &namedReport : inFlight_) {
+            if (!pending_.empty() && pending_.front().name == namedReport.name) {
                 pending_.pop_front();
             }
-            std::erase_if(written_, [&](const Written &old) { return old.report.name == written.name; });
-            written_.push_back({std::move(written), loop_.now()});
+            std::erase_if(writtenReports_,
+                          [&](const WrittenReport &earlier) { return earlier.report.name == namedReport.name; });
+            writtenReports_.push_back({std::move(namedReport), loop_.now()});
         }
     }
 
-    void call(EndpointRequest request, std::function<void(const std::string &)> done)
+    void startCall(EndpointRequest request, std::function<void(const std::string &)> onDone)
     {
-        status_ = 0;
-        body_.clear();
-        silenceTimer_ = loop_.timers().subscribe(loop_.now() + times_.silenceOfRetry, [this](TimePoint) {
-            client_.abort(exchange_);
+        answerStatus_ = 0;
+        answerBody_.clear();
+        timeoutTimer_ = loop_.timers().subscribe(loop_.now() + times_.retrySilenceTimeout, [this](TimePoint) {
+            client_.abort(currentExchange_);
             onFailure(StoreFailureKind::Silent);
         });
         ExchangeHandlers handlers;
-        handlers.head = [this](const HttpResponseHead &head) { status_ = head.status; };
-        handlers.data = [this](const std::string &data) { body_ += data; };
-        handlers.end = [this, done = std::move(done)](ExchangeEnd end) {
-            loop_.timers().cancel(silenceTimer_);
-            onEnd(end, done);
+        handlers.head = [this](const HttpResponseHead &head) { answerStatus_ = head.status; };
+        handlers.data = [this](const std::string &data) { answerBody_ += data; };
+        handlers.end = [this, onDone = std::move(onDone)](ExchangeEnd end) {
+            loop_.timers().cancel(timeoutTimer_);
+            onEnd(end, onDone);
         };
-        exchange_ = client_.start(request, Duration(0), std::move(handlers));
+        currentExchange_ = client_.start(request, Duration(0), std::move(handlers));
     }
 
-    void onEnd(ExchangeEnd end, const std::function<void(const std::string &)> &done)
+    void onEnd(ExchangeEnd end, const std::function<void(const std::string &)> &onDone)
     {
         if (end != ExchangeEnd::Complete) {
             onFailure(end == ExchangeEnd::Unreachable ? StoreFailureKind::Unreachable : StoreFailureKind::Broken);
             return;
         }
-        const auto status = Dialect::storeStatus(status_);
+        const auto status = Dialect::storeStatus(answerStatus_);
         if (status == StoreStatus::Ok) {
-            done(body_);
+            onDone(answerBody_);
             return;
         }
         if (status == StoreStatus::Missing) {
-            lease_ = 0; // it has lapsed, or the store has lost it
+            lease_ = 0; // expired, or lost by the store
         }
         onFailure(StoreFailureKind::Refused);
     }
 
     void onFailure(StoreFailureKind kind)
     {
-        handlers_.failed(kind, status_, !std::exchange(failing_, true));
-        later(random_.jitter(retry_));
-        retry_ = std::min(2 * retry_, times_.longestRetry);
+        handlers_.failed(kind, answerStatus_, !std::exchange(isFailing_, true));
+        scheduleNext(random_.jitter(retryDelay_));
+        retryDelay_ = std::min(2 * retryDelay_, times_.maxRetryDelay);
     }
 
-    void later(Duration span)
+    void scheduleNext(Duration delay)
     {
-        loop_.timers().cancel(timer_);
-        timer_ = loop_.timers().subscribe(loop_.now() + span, [this](TimePoint) { next(); });
+        loop_.timers().cancel(nextCallTimer_);
+        nextCallTimer_ = loop_.timers().subscribe(loop_.now() + delay, [this](TimePoint) { writeNext(); });
     }
 
     Loop &loop_;
@@ -220,20 +225,20 @@
     CrashReporterHandlers handlers_;
     Random random_;
     Client client_;
-    TimerHandle timer_; // of the next call
-    TimerHandle silenceTimer_; // of the present call
-    std::deque<NamedCrashReport> pending_; // oldest first; invariant: at most mostNames, each name once
-    std::vector<NamedCrashReport> writing_; // by the present call
-    std::deque<Written> written_; // oldest first; invariant: each name once
-    std::uint64_t number_ = 0; // of the next report
-    bool busy_ = false; // a call is under way, or a timer leads to one
-    bool failing_ = false; // since the last report that was written
-    std::uint64_t lease_ = 0; // 0: none
-    TimePoint leaseUntil_{}; // used for reports up to then
-    Duration retry_;
-    std::uint32_t status_ = 0; // of the present call
-    std::string body_;
-    ExchangeId exchange_ = 0; // the present call
+    TimerHandle nextCallTimer_; // starts the next call
+    TimerHandle timeoutTimer_; // of the current call
+    std::deque<NamedCrashReport> pending_; // oldest first; invariant: at most maxNames, unique names
+    std::vector<NamedCrashReport> inFlight_; // written by the current call
+    std::deque<WrittenReport> writtenReports_; // oldest first; invariant: unique names
+    std::uint64_t nextNumber_ = 0; // number of the next report
+    bool isBusy_ = false; // a call is in progress or scheduled
+    bool isFailing_ = false; // calls have failed since the last successful write
+    std::uint64_t lease_ = 0; // 0 if none
+    TimePoint leaseUsableUntil_{}; // end of its use for new reports
+    Duration retryDelay_;
+    std::uint32_t answerStatus_ = 0; // of the current call
+    std::string answerBody_;
+    ExchangeId currentExchange_ = 0; // current call
 };
 
 } // namespace anvilscale
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -1,4 +1,4 @@
-// The daemon's two roles behind one face, and its life from start to the end of a drain.
+// Daemon: common interface of the roles and the process lifecycle.
 #include "direct_entry.h"
 #include "direct_sidecar.h"
 #include "entry_daemon.h"
@@ -20,13 +20,13 @@
     std::variant<Entry, Sidecar, DirectEntryRole, DirectSidecarRole> role;
     std::mutex mutex;
     std::condition_variable changed;
-    bool draining = false; // guarded by mutex
-    bool done = false; // guarded by mutex
+    bool isDraining = false; // guarded by mutex
+    bool isDone = false; // guarded by mutex
 
     void setDone()
     {
         const std::lock_guard lock(mutex);
-        done = true;
+        isDone = true;
         changed.notify_all();
     }
 };
@@ -41,7 +41,7 @@
 tl::expected<std::unique_ptr<Daemon>, StartError> Daemon::create(const settings::Settings &settings)
 {
     auto impl = std::make_unique<Impl>();
-    const auto take = [&impl](auto created) -> std::optional<StartError> {
+    const auto setRole = [&impl](auto created) -> std::optional<StartError> {
         if (!created) {
             return created.error();
         }
@@ -50,13 +50,13 @@
     };
     std::optional<StartError> error;
     if (settings.role() == "entry") {
-        error = take(EntryDaemon::create(settings));
+        error = setRole(EntryDaemon::create(settings));
     } else if (settings.role() == "sidecar") {
-        error = take(SidecarDaemon::create(settings));
+        error = setRole(SidecarDaemon::create(settings));
     } else if (settings.role() == "direct-entry") {
-        error = take(DirectEntry<site::SiteDialect>::create(settings));
+        error = setRole(DirectEntry<site::SiteDialect>::create(settings));
     } else {
-        error = take(DirectSidecar<site::SiteDialect>::create(settings));
+        error = setRole(DirectSidecar<site::SiteDialect>::create(settings));
     }
     if (error) {
         return tl::unexpected(std::move(*error));
@@ -68,7 +68,7 @@
 {
     std::visit([](auto &role) { role->start(); }, impl_->role);
     if (auto *sidecar = std::get_if<Impl::Sidecar>(&impl_->role)) {
-        (*sidecar)->onDrained([impl = impl_.get()] { impl->setDone(); });
+        (*sidecar)->setDrainedHandler([impl = impl_.get()] { impl->setDone(); });
     }
 }
 
@@ -76,7 +76,7 @@
 {
     {
         const std::lock_guard lock(impl_->mutex);
-        if (std::exchange(impl_->draining, true)) {
+        if (std::exchange(impl_->isDraining, true)) {
             return;
         }
     }
@@ -98,7 +98,7 @@
 {
     {
         std::unique_lock lock(impl_->mutex);
-        impl_->changed.wait(lock, [this] { return impl_->done; });
+        impl_->changed.wait(lock, [this] { return impl_->isDone; });
     }
     std::visit([](auto &role) { role->shutdown(); }, impl_->role);
 }
--- a/src/daemon/direct_entry.h
+++ b/src/daemon/direct_entry.h
@@ -1,5 +1,5 @@
-// An entry of the direct path as a process: callers, endpoints and the store in the traffic thread, decisions in the
-// control thread, sidecars over the messenger.
+// Process of a direct-path entry: callers, endpoints and the store on the traffic thread, decisions on the control
+// thread, sidecars over the messenger.
 #pragma once
 
 #include "control_loop.h"
@@ -44,48 +44,49 @@
         control_.start();
         control_.post([this](Now) { onTick(); });
         messenger_->start();
-        server_->loop().post([this] {
-            startReporter();
-            follow({});
+        callServer_->loop().post([this] {
+            startCrashReporter();
+            startWatcher({});
         });
-        server_->start();
-        ready_->start();
-        if (metrics_) {
-            metrics_->start();
+        callServer_->start();
+        readyServer_->start();
+        if (metricsServer_) {
+            metricsServer_->start();
         }
         logEvent(Event::ProcessStarted, {{"role", settings_.role()}, {"incarnation", incarnation_}});
     }
 
-    /// Callers are still served until the balancer has seen that this process is not ready any more. `done` is called
-    /// once all calls have ended, or shortly before the platform ends the process.
+    /// Keeps serving callers until the load balancer has seen that the process is not ready. `done` is called after the
+    /// last call, or shortly before the platform terminates the process.
     void drain(std::function<void()> done)
     {
-        draining_ = true;
+        isDraining_ = true;
         logEvent(Event::DrainStarted);
-        server_->closeAfterAnswers();
-        server_->loop().post([this, done = std::move(done)] {
-            auto finished = std::make_shared<bool>(false);
-            const auto end = [finished, done] {
-                if (!std::exchange(*finished, true)) {
+        callServer_->closeAfterAnswers();
+        callServer_->loop().post([this, done = std::move(done)] {
+            auto isFinished = std::make_shared<bool>(false);
+            const auto finish = [isFinished, done] {
+                if (!std::exchange(*isFinished, true)) {
                     logEvent(Event::DrainFinished);
                     done();
                 }
             };
-            auto &timers = server_->loop().timers();
-            timers.subscribe(EventLoop::now() + balancerTime, [this, end](TimePoint) { server_->drain(end); });
+            auto &timers = callServer_->loop().timers();
+            timers.subscribe(EventLoop::now() + balancerDelay,
+                             [this, finish](TimePoint) { callServer_->drain(finish); });
             const auto grace = Milliseconds(settings_.direct().grace_ms());
-            timers.subscribe(EventLoop::now() + grace - closingTime, [end](TimePoint) { end(); });
+            timers.subscribe(EventLoop::now() + grace - shutdownTime, [finish](TimePoint) { finish(); });
         });
     }
 
-    /// The store is followed anew by the new settings; what is known of it stays in force meanwhile.
+    /// Restarts the store watch if its settings have changed. Known state stays in effect meanwhile.
     void reload(const settings::Settings &settings)
     {
-        server_->loop().post([this, settings] {
+        callServer_->loop().post([this, settings] {
             if (settings.direct().store() != settings_.direct().store()) {
                 settings_.mutable_direct()->set_store(settings.direct().store());
-                startReporter();
-                follow(follower_->known());
+                startCrashReporter();
+                startWatcher(watcher_->reportedEndpoints());
             }
             if (settings.SerializeAsString() != settings_.SerializeAsString()) {
                 logEvent(Event::RestartNeeded);
@@ -95,18 +96,18 @@
 
     void shutdown()
     {
-        if (std::exchange(down_, true)) {
+        if (std::exchange(isShutDown_, true)) {
             return;
         }
-        if (server_) {
-            server_->loop().post([this] {
-                follower_.reset();
-                reporter_.reset();
+        if (callServer_) {
+            callServer_->loop().post([this] {
+                watcher_.reset();
+                crashReporter_.reset();
                 relay_.close();
             });
-            server_->shutdown();
+            callServer_->shutdown();
         }
-        for (auto *server : {ready_.get(), metrics_.get()}) {
+        for (auto *server : {readyServer_.get(), metricsServer_.get()}) {
             if (server != nullptr) {
                 server->shutdown();
             }
@@ -123,14 +124,14 @@
     }
     std::uint16_t httpPort() const
     {
-        return server_->port();
+        return callServer_->port();
     }
 
 private:
-    // The balancer asks once a second and takes a process out after two answers that are not 200.
-    static constexpr Duration balancerTime = Milliseconds(2600);
-    // Kept of the grace time for closing down.
-    static constexpr Duration closingTime = Milliseconds(600);
+    // The load balancer probes once a second and removes a process after two answers other than 200.
+    static constexpr Duration balancerDelay = Milliseconds(2600);
+    // Part of the grace period reserved for shutdown.
+    static constexpr Duration shutdownTime = Milliseconds(600);
     static constexpr std::uint32_t statusUnavailable = 503;
 
     DirectEntry(const settings::Settings &settings, const DirectPolicy &policy)
@@ -145,10 +146,10 @@
     tl::expected<void, StartError> listen()
     {
         MessengerInit init = messengerInit(settings_, incarnation_);
-        init.lifeSign = LifeSign::KeepAlive; // sidecars tell their engines' states twice a second
+        init.lifeSign = LifeSign::KeepAlive; // sidecars send engine state twice a second
         auto messenger = Messenger::create(init, messengerHandlers());
         if (!messenger) {
-            return tl::unexpected(startError(StartErrorKind::ControlAddress, "control", messenger.error()));
+            return tl::unexpected(makeStartError(StartErrorKind::ControlAddress, "control", messenger.error()));
         }
         messenger_ = std::move(*messenger);
         HttpServerInit http;
@@ -156,33 +157,36 @@
         http.port = static_cast<std::uint16_t>(settings_.http().port());
         auto server = HttpServer::create(http, serverHandlers());
         if (!server) {
-            return tl::unexpected(startError(StartErrorKind::HttpAddress, "http", server.error()));
+            return tl::unexpected(makeStartError(StartErrorKind::HttpAddress, "http", server.error()));
         }
-        server_ = std::move(*server);
-        relay_.attach(*server_);
-        return listenAside();
+        callServer_ = std::move(*server);
+        relay_.attach(*callServer_);
+        return listenAuxiliary();
     }
 
-    tl::expected<void, StartError> listenAside()
+    tl::expected<void, StartError> listenAuxiliary()
     {
         const auto &direct = settings_.direct();
         HttpServerInit init;
         init.address = direct.ready().address();
         init.port = static_cast<std::uint16_t>(direct.ready().port());
-        auto ready = HttpServer::create(init, askedHandlers(ready_, [this](const auto &r) { return readiness(r); }));
-        if (!ready) {
-            return tl::unexpected(startError(StartErrorKind::HttpAddress, "direct.ready", ready.error()));
+        auto readyServer =
+            HttpServer::create(init, auxiliaryHandlers(readyServer_, [this](const auto &r) { return readiness(r); }));
+        if (!readyServer) {
+            return tl::unexpected(makeStartError(StartErrorKind::HttpAddress, "direct.ready", readyServer.error()));
         }
-        ready_ = std::move(*ready);
+        readyServer_ = std::move(*readyServer);
         if (direct.metrics_port() == 0) {
             return {};
         }
         init.port = static_cast<std::uint16_t>(direct.metrics_port());
-        auto told = HttpServer::create(init, askedHandlers(metrics_, [this](const auto &) { return metrics(); }));
-        if (!told) {
-            return tl::unexpected(startError(StartErrorKind::HttpAddress, "direct.metricsPort", told.error()));
+        auto metricsServer =
+            HttpServer::create(init, auxiliaryHandlers(metricsServer_, [this](const auto &) { return metrics(); }));
+        if (!metricsServer) {
+            return tl::unexpected(
+                makeStartError(StartErrorKind::HttpAddress, "direct.metricsPort", metricsServer.error()));
         }
-        metrics_ = std::move(*told);
+        metricsServer_ = std::move(*metricsServer);
         return {};
     }
 
@@ -192,14 +196,14 @@
         handlers.request = [this](HttpExchange exchange, HttpRequestData request) {
             relay_.onRequest(exchange, std::move(request));
         };
-        handlers.gone = [this](HttpExchange exchange, FailureReason) { relay_.onGone(exchange); };
-        handlers.taken = [this](HttpExchange exchange, std::uint64_t bytes) { relay_.onTaken(exchange, bytes); };
-        handlers.problem = [](HttpProblem problem) { return problemReply(problem); };
+        handlers.gone = [this](HttpExchange exchange, FailureReason) { relay_.onCallerDisconnected(exchange); };
+        handlers.taken = [this](HttpExchange exchange, std::uint64_t bytes) { relay_.onBytesSent(exchange, bytes); };
+        handlers.problem = [](HttpProblem problem) { return httpErrorReply(problem); };
         return handlers;
     }
 
     template<class Answer>
-    HttpServer::Handlers askedHandlers(std::unique_ptr<HttpServer> &server, Answer answer)
+    HttpServer::Handlers auxiliaryHandlers(std::unique_ptr<HttpServer> &server, Answer answer)
     {
         HttpServer::Handlers handlers;
         handlers.request = [&server, answer](HttpExchange exchange, const HttpRequestData &request) {
@@ -207,11 +211,11 @@
         };
         handlers.gone = [](HttpExchange, FailureReason) {};
         handlers.taken = [](HttpExchange, std::uint64_t) {};
-        handlers.problem = [](HttpProblem problem) { return problemReply(problem); };
+        handlers.problem = [](HttpProblem problem) { return httpErrorReply(problem); };
         return handlers;
     }
 
-    static HttpReply problemReply(HttpProblem problem)
+    static HttpReply httpErrorReply(HttpProblem problem)
     {
         HttpReply reply;
         reply.status = statusOf(problem);
@@ -223,7 +227,7 @@
     HttpReply readiness(const HttpRequestData &request) const
     {
         HttpReply reply;
-        reply.status = Dialect::isReadinessCheck(request) && isReady_ && !draining_ ? 200 : statusUnavailable;
+        reply.status = Dialect::isReadinessCheck(request) && isReady_ && !isDraining_ ? 200 : statusUnavailable;
         return reply;
     }
 
@@ -239,12 +243,12 @@
     RelayHandlers relayHandlers()
     {
         RelayHandlers handlers;
-        handlers.arrived = [this](HttpExchange exchange, CallFacts facts) {
-            control_.post([this, exchange, facts = std::move(facts)](Now now) {
-                calls_.arrive(CallHandle{exchange.value}, facts, now.mono);
+        handlers.onCall = [this](HttpExchange exchange, CallFacts info) {
+            control_.post([this, exchange, info = std::move(info)](Now now) {
+                calls_.arrive(CallHandle{exchange.value}, info, now.mono);
             });
         };
-        handlers.told = [this](const std::string &endpointId, EndpointNotice notice) {
+        handlers.onEndpointNotice = [this](const std::string &endpointId, EndpointNotice notice) {
             control_.post([this, endpointId, notice](Now now) {
                 if (calls_.endpointTold(endpointId, notice, now.mono)) {
                     logEvent(
@@ -253,17 +257,17 @@
                 }
             });
         };
-        handlers.began = [this](HttpExchange exchange, std::uint32_t attempt) {
+        handlers.onAnswerStarted = [this](HttpExchange exchange, std::uint32_t attempt) {
             control_.post([this, exchange, attempt](Now now) {
                 calls_.answerBegan(CallHandle{exchange.value}, attempt, now.mono);
             });
         };
-        handlers.ended = [this](HttpExchange exchange, std::uint32_t attempt, AttemptResult result) {
+        handlers.onAttemptEnded = [this](HttpExchange exchange, std::uint32_t attempt, AttemptResult result) {
             control_.post([this, exchange, attempt, result](Now now) {
                 calls_.attemptEnded(CallHandle{exchange.value}, attempt, result, now.mono);
             });
         };
-        handlers.gone = [this](HttpExchange exchange) {
+        handlers.onCallerGone = [this](HttpExchange exchange) {
             control_.post([this, exchange](Now now) { calls_.callerGone(CallHandle{exchange.value}, now.mono); });
         };
         return handlers;
@@ -284,118 +288,118 @@
                     calls_.applyHeartbeat(name, heartbeat, now.mono);
                 });
             } else if (message.has_store_news()) {
-                onStoreNews(std::move(*message.mutable_store_news()));
+                onSharedWatchAnswer(std::move(*message.mutable_store_news()));
             }
         };
-        const auto lost = [this](const std::string &name) {
+        const auto discardState = [this](const std::string &name) {
             control_.post([this, name](Now) { calls_.sidecarLost(name); });
         };
-        handlers.targetUp = [lost](const std::string &name) {
+        handlers.targetUp = [discardState](const std::string &name) {
             logEvent(Event::MemberChanged, {{"sidecar", name}, {"state", "connected"}});
-            lost(name); // a new conversation begins with everything
+            discardState(name); // a new connection starts with a full state
         };
-        handlers.targetLost = [lost](const std::string &name) {
+        handlers.targetLost = [discardState](const std::string &name) {
             logEvent(Event::PeerLost, {{"sidecar", name}});
-            lost(name);
+            discardState(name);
         };
         handlers.sendFailed = [](const std::string &, const wire::AttemptId &) {};
         return handlers;
     }
 
-    /// `known`: endpoints that the store followed before has told.
-    void follow(std::set<std::string> known)
+    /// `knownEndpoints`: endpoints reported by the previous store.
+    void startWatcher(std::set<std::string> knownEndpoints)
     {
         auto init = storeFollowerInit(settings_, incarnation_);
-        init.known = std::move(known);
-        follower_ = std::make_unique<StoreFollower<Dialect>>(server_->loop(), init, followerHandlers());
-        follower_->start();
+        init.known = std::move(knownEndpoints);
+        watcher_ = std::make_unique<StoreFollower<Dialect>>(callServer_->loop(), init, watcherHandlers());
+        watcher_->start();
     }
 
-    void startReporter()
+    void startCrashReporter()
     {
         CrashReporterHandlers handlers;
         handlers.written = [this](std::size_t reports) {
             control_.post([this, reports](Now) { storeLog_.crashReportsWritten(reports); });
         };
-        handlers.failed = [this](StoreFailureKind kind, std::uint32_t status, bool first) {
-            control_.post([this, kind, status, first](Now) { storeLog_.crashReportFailed(kind, status, first); });
+        handlers.failed = [this](StoreFailureKind kind, std::uint32_t status, bool isFirst) {
+            control_.post([this, kind, status, isFirst](Now) { storeLog_.crashReportFailed(kind, status, isFirst); });
         };
         handlers.dropped = [this] { control_.post([this](Now) { storeLog_.crashReportDropped(); }); };
         const auto init = crashReporterInit(settings_, incarnation_);
-        reporter_ = std::make_unique<CrashReporter<Dialect>>(server_->loop(), init, std::move(handlers));
+        crashReporter_ = std::make_unique<CrashReporter<Dialect>>(callServer_->loop(), init, std::move(handlers));
     }
 
-    StoreFollowerHandlers followerHandlers()
+    StoreFollowerHandlers watcherHandlers()
     {
         StoreFollowerHandlers handlers;
         handlers.record = [this](StoreRecord record) {
             control_.post([this, record = std::move(record)](Now now) { applyRecord(record, now.mono); });
         };
-        handlers.complete = [this] { control_.post([this](Now) { storeRead_ = true; }); };
-        handlers.answered = [this](Duration unheard, bool returned) {
-            control_.post([this, unheard, returned](Now now) {
+        handlers.complete = [this] { control_.post([this](Now) { isStoreRead_ = true; }); };
+        handlers.answered = [this](Duration sinceLastAnswer, bool isRecovery) {
+            control_.post([this, sinceLastAnswer, isRecovery](Now now) {
                 calls_.storeAnswered(now.mono);
-                storeLog_.answered(unheard, returned);
+                storeLog_.answered(sinceLastAnswer, isRecovery);
             });
         };
         handlers.failed = [this](const StoreFailure &failure) {
             control_.post([this, failure](Now) { storeLog_.failed(failure); });
         };
         handlers.restored = [this](std::uint64_t era) {
-            reporter_->writeAgain();
+            crashReporter_->rewriteReports();
             control_.post([this, era](Now) { storeLog_.restored(era); });
         };
-        handlers.askShared = [this](std::uint64_t call, StorePosition after, Duration wait) {
-            return askSharer(call, after, wait);
+        handlers.requestSharedWatch = [this](std::uint64_t call, StorePosition after, Duration wait) {
+            return requestSharedWatch(call, after, wait);
         };
-        handlers.sharedFailed = [this] {
-            control_.post([this, name = askedSharer_](Now now) {
+        handlers.sharedWatchFailed = [this] {
+            control_.post([this, name = requestedAddress_](Now now) {
                 logEvent(Event::StoreSharerFailed, {{"sidecar", name}});
                 calls_.storeSharerFailed(name, now.mono);
-                chooseSharer(now.mono);
+                selectSharedWatch(now.mono);
             });
         };
         return handlers;
     }
 
-    bool askSharer(std::uint64_t call, StorePosition after, Duration wait)
+    bool requestSharedWatch(std::uint64_t call, StorePosition after, Duration wait)
     {
         {
-            const std::lock_guard lock(sharerMutex_);
-            askedSharer_ = sharer_;
+            const std::lock_guard lock(sharedWatchMutex_);
+            requestedAddress_ = sharedWatchAddress_;
         }
-        if (askedSharer_.empty()) {
+        if (requestedAddress_.empty()) {
             return false;
         }
         wire::Envelope message;
-        auto &ask = *message.mutable_store_ask();
-        ask.set_call(call);
-        ask.set_era(after.era);
-        ask.set_after(after.revision);
-        ask.set_wait_ms(static_cast<std::uint32_t>(wholeMs(wait)));
-        ask.set_store(settings_.direct().store());
-        messenger_->sendTo(askedSharer_, message);
+        auto &request = *message.mutable_store_ask();
+        request.set_call(call);
+        request.set_era(after.era);
+        request.set_after(after.revision);
+        request.set_wait_ms(static_cast<std::uint32_t>(wholeMs(wait)));
+        request.set_store(settings_.direct().store());
+        messenger_->sendTo(requestedAddress_, message);
         return true;
     }
 
-    void onStoreNews(wire::StoreNews news)
+    void onSharedWatchAnswer(wire::StoreNews answer)
     {
-        server_->loop().post([this, news = std::move(news)] {
+        callServer_->loop().post([this, answer = std::move(answer)] {
             std::optional<std::string> body;
-            if (news.answered()) {
-                body = Dialect::joinWatch(news.revision(), {news.items().begin(), news.items().end()});
+            if (answer.answered()) {
+                body = Dialect::joinWatch(answer.revision(), {answer.items().begin(), answer.items().end()});
             }
-            if (follower_) {
-                follower_->onShared(news.call(), news.era(), body);
+            if (watcher_) {
+                watcher_->onSharedWatchAnswer(answer.call(), answer.era(), body);
             }
         });
     }
 
-    void chooseSharer(TimePoint now)
+    void selectSharedWatch(TimePoint now)
     {
-        auto chosen = calls_.storeSharer(now);
-        const std::lock_guard lock(sharerMutex_);
-        sharer_ = std::move(chosen);
+        auto address = calls_.storeSharer(now);
+        const std::lock_guard lock(sharedWatchMutex_);
+        sharedWatchAddress_ = std::move(address);
     }
 
     void applyRecord(const StoreRecord &record, TimePoint now)
@@ -436,13 +440,13 @@
         }
         logEvent(Event::ConfigMoved, {{"revision", config.version}, {"routes", std::uint64_t{config.routes.size()}}});
         const auto &limits = config.limits;
-        server_->updateLimits(limits.headBytes, limits.bodyBytes, limits.headTimeout, limits.idleTimeout);
+        callServer_->updateLimits(limits.headBytes, limits.bodyBytes, limits.headTimeout, limits.idleTimeout);
     }
 
     void connectSidecars()
     {
-        const auto wanted = calls_.engineAddresses();
-        const std::set<std::string> names(wanted.begin(), wanted.end());
+        const auto addresses = calls_.engineAddresses();
+        const std::set<std::string> names(addresses.begin(), addresses.end());
         for (const auto &name : names) {
             if (sidecars_.insert(name).second) {
                 const auto ip = name.substr(0, name.rfind(':'));
@@ -463,14 +467,14 @@
     {
         const auto now = EventLoop::now();
         calls_.tick(now);
-        if (now >= sharerDue_) {
-            sharerDue_ = now + sharerInterval;
-            chooseSharer(now);
+        if (now >= nextSelectionAt_) {
+            nextSelectionAt_ = now + selectionInterval;
+            selectSharedWatch(now);
         }
-        // Once ready it stays so: an entry that loses the store or a sidecar serves better than none.
-        isReady_ = isReady_ || (storeRead_ && calls_.ready(now));
-        if (now >= metricsDue_) {
-            metricsDue_ = now + metricsInterval;
+        // Readiness is never withdrawn: an entry without the store or a sidecar still serves better than none.
+        isReady_ = isReady_ || (isStoreRead_ && calls_.ready(now));
+        if (now >= nextMetricsAt_) {
+            nextMetricsAt_ = now + metricsInterval;
             renderMetrics();
         }
         control_.timers().subscribe(now + directTick, [this](TimePoint) { onTick(); });
@@ -481,31 +485,32 @@
         auto actions = calls_.takeActions();
         const auto now = EventLoop::now();
         for (const auto &failed : calls_.takeFailedAttempts()) {
-            log_.attemptFailed(failed, now);
+            callLog_.attemptFailed(failed, now);
         }
         for (const auto &ended : calls_.takeEnded()) {
-            log_.callEnded(ended, now);
+            callLog_.callEnded(ended, now);
         }
         for (const auto request : calls_.takeQuarantined()) {
-            log_.requestQuarantined(request);
+            callLog_.requestQuarantined(request);
         }
         reportCrashes();
-        std::vector<DirectAction> traffic;
+        std::vector<DirectAction> trafficActions;
         for (auto &action : actions) {
-            if (auto *wishes = std::get_if<SendWishes>(&action)) {
+            if (auto *sendDemand = std::get_if<SendWishes>(&action)) {
                 wire::Envelope message;
-                *message.mutable_direct_demand() = std::move(wishes->demand);
-                messenger_->sendTo(wishes->address, message);
+                *message.mutable_direct_demand() = std::move(sendDemand->demand);
+                messenger_->sendTo(sendDemand->address, message);
             } else {
-                traffic.push_back(std::move(action));
+                trafficActions.push_back(std::move(action));
             }
         }
-        if (traffic.empty()) {
+        if (trafficActions.empty()) {
             return;
         }
-        server_->loop().post([this, traffic = std::move(traffic)] {
-            for (const auto &action : traffic) {
-                std::visit(Overloaded{[](const SendWishes &) {}, [this](const auto &one) { relay_.perform(one); }},
+        callServer_->loop().post([this, trafficActions = std::move(trafficActions)] {
+            for (const auto &action : trafficActions) {
+                std::visit(Overloaded{[](const SendWishes &) {},
+                                      [this](const auto &relayAction) { relay_.perform(relayAction); }},
                            action);
             }
         });
@@ -517,10 +522,10 @@
         if (reports.empty()) {
             return;
         }
-        server_->loop().post([this, reports = std::move(reports)]() mutable {
+        callServer_->loop().post([this, reports = std::move(reports)]() mutable {
             for (auto &report : reports) {
-                if (reporter_) {
-                    reporter_->report(std::move(report));
+                if (crashReporter_) {
+                    crashReporter_->report(std::move(report));
                 }
             }
         });
@@ -530,42 +535,44 @@
     {
         MetricsText text;
         appendDirectMetrics(text, calls_.stats());
-        log_.appendMetrics(text);
+        callLog_.appendMetrics(text);
         storeLog_.appendMetrics(text);
         appendMessengerMetrics(text, messenger_->stats());
-        appendHttpMetrics(text, server_->stats());
+        appendHttpMetrics(text, callServer_->stats());
         const std::lock_guard lock(metricsMutex_);
         metricsText_ = text.text();
     }
 
     static constexpr Duration metricsInterval = Seconds(2);
-    static constexpr Duration sharerInterval = Milliseconds(200); // between choices of the sidecar that asks the store
+    // Between selections of the sidecar that watches the store.
+    static constexpr Duration selectionInterval = Milliseconds(200);
 
     settings::Settings settings_;
     std::uint64_t incarnation_;
     DirectCalls calls_; // control thread
     DirectRelay<Dialect> relay_; // traffic thread
-    DirectLog log_; // control thread
+    DirectLog callLog_; // control thread
     StoreLog storeLog_; // control thread
-    std::set<std::string> sidecars_; // control thread: names of the messenger's targets
-    bool storeRead_ = false; // control thread
-    TimePoint metricsDue_{}; // control thread
-    TimePoint sharerDue_{}; // control thread
-    std::mutex sharerMutex_; // guards sharer_
-    std::string sharer_; // address of the endpoint whose sidecar asks the store for this entry; empty: none
-    std::string askedSharer_; // traffic thread: the one that was asked last
+    std::set<std::string> sidecars_; // control thread; names of the messenger's targets
+    bool isStoreRead_ = false; // control thread
+    TimePoint nextMetricsAt_{}; // control thread
+    TimePoint nextSelectionAt_{}; // control thread
+    std::mutex sharedWatchMutex_; // guards sharedWatchAddress_
+    // Address of the endpoint whose sidecar watches the store for this entry; empty if none.
+    std::string sharedWatchAddress_;
+    std::string requestedAddress_; // traffic thread; address of the last request
     std::atomic<bool> isReady_ = false;
-    std::atomic<bool> draining_ = false;
-    bool down_ = false;
+    std::atomic<bool> isDraining_ = false;
+    bool isShutDown_ = false;
     mutable std::mutex metricsMutex_; // guards metricsText_
     std::string metricsText_;
     ControlLoop control_;
     std::unique_ptr<Messenger> messenger_;
-    std::unique_ptr<StoreFollower<Dialect>> follower_; // traffic thread
-    std::unique_ptr<CrashReporter<Dialect>> reporter_; // traffic thread
-    std::unique_ptr<HttpServer> server_;
-    std::unique_ptr<HttpServer> ready_;
-    std::unique_ptr<HttpServer> metrics_;
+    std::unique_ptr<StoreFollower<Dialect>> watcher_; // traffic thread
+    std::unique_ptr<CrashReporter<Dialect>> crashReporter_; // traffic thread
+    std::unique_ptr<HttpServer> callServer_;
+    std::unique_ptr<HttpServer> readyServer_;
+    std::unique_ptr<HttpServer> metricsServer_;
 };
 
 } // namespace anvilscale
--- a/src/daemon/direct_log.cpp
+++ b/src/daemon/direct_log.cpp
@@ -1,14 +1,13 @@
-// Lines and metrics of the direct path's calls.
+// Log lines and metrics of direct-path calls.
 #include "direct_log.h"
 
 namespace anvilscale {
 
 namespace {
 
-// Lines of ended calls a second. An entry of today's deployments ends some twenty calls a second; the rest of an
-// overload is counted, so that writing logs never takes the processor from calls.
-constexpr std::uint32_t linesPerSecond = 100;
-const std::vector<double> latencyBounds{0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 0.8, 1, 1.5, 2, 3, 5, 10, 15};
+// Bounds the CPU time spent on logging under overload. Further lines are only counted.
+constexpr std::uint32_t maxLinesPerSecond = 100;
+const std::vector<double> latencyBucketBounds{0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 0.8, 1, 1.5, 2, 3, 5, 10, 15};
 
 double seconds(Duration span)
 {
@@ -18,30 +17,31 @@
 } // namespace
 
 DirectLog::DirectLog()
-    : firstByte_("anvilscale_call_first_byte_seconds", "time from a call's arrival to the first byte of its answer",
-                 latencyBounds)
-    , total_("anvilscale_call_seconds", "time from a call's arrival to its end", latencyBounds)
-    , adapterWait_("anvilscale_call_adapter_wait_seconds", "time that a call waited for its adapter", latencyBounds)
+    : firstByte_("anvilscale_call_first_byte_seconds",
+                 "time from the arrival of a call to the first byte of its response", latencyBucketBounds)
+    , total_("anvilscale_call_seconds", "time from the arrival of a call to its end", latencyBucketBounds)
+    , adapterWait_("anvilscale_call_adapter_wait_seconds", "time that a call waited for its adapter",
+                   latencyBucketBounds)
 {
 }
 
-bool DirectLog::mayWrite(TimePoint now)
+bool DirectLog::reserveLine(TimePoint now)
 {
     if (now - windowStart_ >= Seconds(1)) {
         windowStart_ = now;
-        lines_ = 0;
+        linesInWindow_ = 0;
     }
-    if (lines_ >= linesPerSecond) {
-        ++suppressed_;
+    if (linesInWindow_ >= maxLinesPerSecond) {
+        ++suppressedLines_;
         return false;
     }
-    ++lines_;
+    ++linesInWindow_;
     return true;
 }
 
 void DirectLog::attemptFailed(const FailedAttempt &attempt, TimePoint now)
 {
-    if (!mayWrite(now)) {
+    if (!reserveLine(now)) {
         return;
     }
     logEvent(Event::AttemptFailed, {{"request", attempt.requestId},
@@ -69,11 +69,11 @@
     if (call.adapterWait != Duration(0)) {
         adapterWait_.record(seconds(call.adapterWait));
     }
-    if (!mayWrite(now)) {
+    if (!reserveLine(now)) {
         return;
     }
-    const bool well = call.outcome == EndedOutcome::Answered;
-    logEvent(well ? Event::CallEnded : Event::CallEndedBadly,
+    const bool isAnswered = call.outcome == EndedOutcome::Answered;
+    logEvent(isAnswered ? Event::CallEnded : Event::CallEndedBadly,
              {{"request", call.requestId},
               {"outcome", std::string(toString(call.outcome))},
               {"reason", call.reason},
@@ -100,23 +100,23 @@
     text.add(firstByte_);
     text.add(total_);
     text.add(adapterWait_);
-    text.counter("anvilscale_log_lines_suppressed_total", "lines of calls that were not written, beyond the rate",
-                 suppressed_);
+    text.counter("anvilscale_log_lines_suppressed_total", "log lines of calls that were suppressed by the rate limit",
+                 suppressedLines_);
 }
 
 void appendDirectMetrics(MetricsText &text, const DirectCallsStats &stats)
 {
-    text.counter("anvilscale_direct_calls_total", "calls that arrived", stats.calls);
+    text.counter("anvilscale_direct_calls_total", "calls received", stats.calls);
     text.counter("anvilscale_direct_sent_total", "attempts sent to endpoints", stats.sent);
     text.counter("anvilscale_direct_adapter_waits_total", "waits of calls for their adapter", stats.waitedForAdapter);
     text.gauge("anvilscale_direct_calls_open", "calls in progress", static_cast<double>(stats.open));
-    text.counters("anvilscale_direct_attempt_ends_total", "how attempts ended", "end", stats.ends);
+    text.counters("anvilscale_direct_attempt_ends_total", "attempts by result", "end", stats.ends);
     text.counters("anvilscale_direct_endpoint_refusals_total", "calls refused by endpoints", "refusal",
                   stats.endpointRefusals);
     text.counters("anvilscale_direct_refusals_total", "calls refused by this entry", "reason", stats.refusals);
-    text.counter("anvilscale_direct_quarantined_total", "requests that go to no endpoint, as too many ended under them",
+    text.counter("anvilscale_direct_quarantined_total", "requests quarantined because they crashed too many endpoints",
                  stats.quarantined);
-    text.counters("anvilscale_direct_retries_total", "further attempts", "reason", stats.retries);
+    text.counters("anvilscale_direct_retries_total", "retries by reason", "reason", stats.retries);
 }
 
 } // namespace anvilscale
--- a/src/daemon/direct_log.h
+++ b/src/daemon/direct_log.h
@@ -1,4 +1,4 @@
-// What the direct path logs and counts of its calls: one line for each call that has ended, bounded by a rate.
+// Logs and counts calls of the direct path.
 #pragma once
 
 #include "anvilscale/direct.h"
@@ -6,6 +6,7 @@
 
 namespace anvilscale {
 
+/// Writes one log line for each finished call and failed attempt, up to a rate limit. Not thread-safe.
 class DirectLog
 {
 public:
@@ -16,14 +17,14 @@
     void appendMetrics(MetricsText &text) const;
 
 private:
-    bool mayWrite(TimePoint now);
+    bool reserveLine(TimePoint now);
 
     HistogramMetric firstByte_;
     HistogramMetric total_;
     HistogramMetric adapterWait_;
     TimePoint windowStart_{};
-    std::uint32_t lines_ = 0; // in the present window
-    std::uint64_t suppressed_ = 0;
+    std::uint32_t linesInWindow_ = 0; // written in the current window
+    std::uint64_t suppressedLines_ = 0;
 };
 
 void appendDirectMetrics(MetricsText &text, const DirectCallsStats &stats);
--- a/src/daemon/direct_relay.h
+++ b/src/daemon/direct_relay.h
@@ -1,5 +1,4 @@
-// Carries the bytes of calls between callers and endpoints, in the traffic thread. Decides nothing: each attempt comes
-// as an action of the control thread, and its end is told back.
+// Transfers the bytes of calls between callers and endpoints on the traffic thread.
 #pragma once
 
 #include "anvilscale/direct_path.h"
@@ -8,14 +7,15 @@
 
 namespace anvilscale {
 
+/// Handlers of a DirectRelay, called from the traffic thread.
 struct RelayHandlers
 {
-    std::function<void(HttpExchange, CallFacts)> arrived;
-    /// Before `began` and `ended` of the attempt.
-    std::function<void(const std::string &endpointId, EndpointNotice)> told;
-    std::function<void(HttpExchange, std::uint32_t attempt)> began;
-    std::function<void(HttpExchange, std::uint32_t attempt, AttemptResult)> ended;
-    std::function<void(HttpExchange)> gone;
+    std::function<void(HttpExchange, CallFacts)> onCall;
+    /// Called before onAnswerStarted and onAttemptEnded of the attempt.
+    std::function<void(const std::string &endpointId, EndpointNotice)> onEndpointNotice;
+    std::function<void(HttpExchange, std::uint32_t attempt)> onAnswerStarted;
+    std::function<void(HttpExchange, std::uint32_t attempt, AttemptResult)> onAttemptEnded;
+    std::function<void(HttpExchange)> onCallerGone;
 };
 
 struct RelayStats
@@ -24,6 +24,7 @@
     std::uint64_t requests = 0; // to endpoints
 };
 
+/// Makes no decisions: each attempt is an action of the control thread, and its result is reported back.
 template<DirectDialect Dialect>
 class DirectRelay
 {
@@ -32,7 +33,7 @@
         : handlers_(std::move(handlers))
     {
     }
-    /// Before the first request.
+    /// Must be called before the first request.
     void attach(HttpServer &server)
     {
         server_ = &server;
@@ -41,40 +42,40 @@
     // Traffic thread only.
     void onRequest(HttpExchange exchange, HttpRequestData request)
     {
-        auto facts = Dialect::readCall(request);
-        if (!facts) {
-            server_->reply(exchange, errorReply(statusBadRequest, toString(facts.error()), Duration(0)));
+        auto info = Dialect::readCall(request);
+        if (!info) {
+            server_->reply(exchange, errorReply(statusBadRequest, toString(info.error()), Duration(0)));
             return;
         }
-        facts->fingerprint = fingerprintOf(request.method, request.target, request.body, *facts);
+        info->fingerprint = fingerprintOf(request.method, request.target, request.body, *info);
         auto &call = calls_[exchange.value];
         call.request = std::move(request);
-        call.requestId = facts->requestId;
-        handlers_.arrived(exchange, std::move(*facts));
+        call.requestId = info->requestId;
+        handlers_.onCall(exchange, std::move(*info));
     }
 
-    void onGone(HttpExchange exchange)
+    void onCallerDisconnected(HttpExchange exchange)
     {
         const auto found = calls_.find(exchange.value);
         if (found == calls_.end()) {
             return;
         }
-        // The endpoint stops working once its connection is closed.
+        // The endpoint stops working on the call when its connection is closed.
         stopAttempt(found->second);
         calls_.erase(found);
-        handlers_.gone(exchange);
+        handlers_.onCallerGone(exchange);
     }
 
-    void onTaken(HttpExchange exchange, std::uint64_t bytes)
+    void onBytesSent(HttpExchange exchange, std::uint64_t bytes)
     {
         const auto found = calls_.find(exchange.value);
         if (found == calls_.end()) {
             return;
         }
         auto &call = found->second;
-        call.untaken -= std::min<std::uint64_t>(call.untaken, bytes);
-        if (call.untaken <= readAhead / 2 && call.client != nullptr) {
-            call.client->pause(call.upstream, false);
+        call.unsentBytes -= std::min<std::uint64_t>(call.unsentBytes, bytes);
+        if (call.unsentBytes <= maxUnsentBytes / 2 && call.client != nullptr) {
+            call.client->pause(call.upstreamExchange, false);
         }
     }
 
@@ -83,24 +84,24 @@
         const HttpExchange exchange{action.call.value};
         const auto found = calls_.find(exchange.value);
         if (found == calls_.end()) {
-            return; // the caller has left in the meantime
+            return; // the caller has disconnected
         }
         auto &call = found->second;
         call.attempt = action.attempt;
         call.endpointId = action.endpointId;
         call.holdAnswer = action.holdAnswer;
-        call.held = HttpReply{};
+        call.heldReply = HttpReply{};
         call.answer = EndpointAnswer{};
-        const auto left = action.deadline - EventLoop::now();
-        if (left <= Duration(0)) {
+        const auto remaining = action.deadline - EventLoop::now();
+        if (remaining <= Duration(0)) {
             AttemptResult result;
             result.end = AttemptEnd::Unreachable;
-            handlers_.ended(exchange, action.attempt, result);
+            handlers_.onAttemptEnded(exchange, action.attempt, result);
             return;
         }
         call.client = &clientFor(action.address);
-        call.upstream =
-            call.client->start(Dialect::callRequest(call.request, action, left), left, handlersFor(exchange, action));
+        call.upstreamExchange = call.client->start(Dialect::callRequest(call.request, action, remaining), remaining,
+                                                   handlersFor(exchange, action));
     }
 
     void perform(const RefuseCall &action)
@@ -114,7 +115,7 @@
         if (found == calls_.end()) {
             return;
         }
-        finish(action.call, std::move(found->second.held));
+        finish(action.call, std::move(found->second.heldReply));
     }
 
     void perform(const DropConnections &action)
@@ -127,12 +128,12 @@
 
     void perform(const AbandonCall &action)
     {
-        const bool late = action.reason == FailureReason::DeadlinePassed;
-        finish(action.call,
-               errorReply(late ? statusGatewayTimeout : statusBadGateway, toString(action.reason), Duration(0)));
+        const bool isDeadlinePassed = action.reason == FailureReason::DeadlinePassed;
+        finish(action.call, errorReply(isDeadlinePassed ? statusGatewayTimeout : statusBadGateway,
+                                       toString(action.reason), Duration(0)));
     }
 
-    /// Ends all connections to endpoints. Before the loop of the server goes, which they are watched by.
+    /// Closes all connections to endpoints. Must be called before the event loop of the server is destroyed.
     void close()
     {
         calls_.clear();
@@ -153,16 +154,16 @@
     static constexpr std::uint32_t statusBadRequest = 400;
     static constexpr std::uint32_t statusBadGateway = 502;
     static constexpr std::uint32_t statusGatewayTimeout = 504;
-    // Of one answer, read before the caller has taken it.
-    static constexpr std::size_t readAhead = 256U << 10;
-    // Of an answer that is no event stream, kept back until it is whole.
-    static constexpr std::size_t holdBytes = 256U << 10;
-    // An endpoint that is up takes a connection within milliseconds.
+    // Maximum of answer bytes read from an endpoint and not yet sent to the caller.
+    static constexpr std::size_t maxUnsentBytes = 256U << 10;
+    // Maximum of bytes for which an answer other than an event stream is held back until it is complete.
+    static constexpr std::size_t maxHeldBytes = 256U << 10;
+    // A running endpoint accepts a connection within milliseconds.
     static constexpr Duration connectTimeout = Milliseconds(400);
-    // An endpoint closes its idle connections by itself: one that is used within this margin may be closed just then.
+    // Prevents the use of a connection that the endpoint is about to close as idle.
     static constexpr Duration keepMargin = Milliseconds(400);
-    // Where it does not say how long it keeps them, it may be less than a second.
-    static constexpr Duration untoldKeep = Milliseconds(200);
+    // Used if the endpoint does not announce how long it keeps idle connections.
+    static constexpr Duration defaultKeepIdle = Milliseconds(200);
 
     struct RelayedCall
     {
@@ -171,14 +172,14 @@
         std::string endpointId;
         std::uint32_t attempt = 0;
         bool holdAnswer = false;
-        HttpClient *client = nullptr; // of the present attempt; null while none is under way
-        ExchangeId upstream = 0;
+        HttpClient *client = nullptr; // of the current attempt; null if none is in progress
+        ExchangeId upstreamExchange = 0;
         EndpointAnswer answer;
-        HttpReply held; // the answer as far as it has been read, while nothing of it is passed on
-        TimePoint lastPart{}; // of an answer that is passed on
-        Duration longestPause{}; // between its parts
-        bool passing = false; // bytes of an answer have gone to the caller
-        std::uint64_t untaken = 0; // passed on and not yet taken by the caller
+        HttpReply heldReply; // the answer received so far, while none of it has been forwarded
+        TimePoint lastPartAt{}; // arrival of the last part of a forwarded answer
+        Duration longestPause{}; // between two parts
+        bool isForwarding = false; // answer bytes have been sent to the caller
+        std::uint64_t unsentBytes = 0; // forwarded bytes that have not been sent to the caller yet
     };
 
     static HttpReply errorReply(std::uint32_t status, std::string_view reason, Duration retryAfter)
@@ -203,7 +204,7 @@
             HttpClientInit init;
             init.address = address;
             init.connectTimeout = connectTimeout;
-            init.keepIdle = untoldKeep;
+            init.keepIdle = defaultKeepIdle;
             init.keepMargin = keepMargin;
             client = std::make_unique<HttpClient>(server_->loop(), init);
         }
@@ -229,36 +230,36 @@
             return;
         }
         if (!call.answer.notice.empty()) {
-            handlers_.told(call.endpointId, call.answer.notice);
+            handlers_.onEndpointNotice(call.endpointId, call.answer.notice);
         }
         if (call.answer.kind == AnswerKind::Refused) {
             return;
         }
-        handlers_.began(exchange, call.attempt);
-        call.held.status = head.status;
-        call.held.headers = head.headers;
+        handlers_.onAnswerStarted(exchange, call.attempt);
+        call.heldReply.status = head.status;
+        call.heldReply.headers = head.headers;
         if (call.answer.kind == AnswerKind::Success && call.answer.events) {
-            startPassing(exchange, call);
+            startForwarding(exchange, call);
         }
     }
 
-    void startPassing(HttpExchange exchange, RelayedCall &call)
+    void startForwarding(HttpExchange exchange, RelayedCall &call)
     {
-        call.passing = true;
-        call.lastPart = EventLoop::now();
-        server_->begin(exchange, call.held.status, std::move(call.held.headers));
-        if (!call.held.body.empty()) {
-            pass(exchange, call, std::exchange(call.held.body, {}));
+        call.isForwarding = true;
+        call.lastPartAt = EventLoop::now();
+        server_->begin(exchange, call.heldReply.status, std::move(call.heldReply.headers));
+        if (!call.heldReply.body.empty()) {
+            forward(exchange, call, std::exchange(call.heldReply.body, {}));
         }
     }
 
-    void pass(HttpExchange exchange, RelayedCall &call, std::string data)
+    void forward(HttpExchange exchange, RelayedCall &call, std::string data)
     {
         const auto now = EventLoop::now();
-        call.longestPause = std::max(call.longestPause, now - std::exchange(call.lastPart, now));
-        call.untaken += data.size();
-        if (call.untaken > readAhead) {
-            call.client->pause(call.upstream, true);
+        call.longestPause = std::max(call.longestPause, now - std::exchange(call.lastPartAt, now));
+        call.unsentBytes += data.size();
+        if (call.unsentBytes > maxUnsentBytes) {
+            call.client->pause(call.upstreamExchange, true);
         }
         server_->send(exchange, std::move(data));
     }
@@ -266,14 +267,14 @@
     void onData(HttpExchange exchange, std::string data)
     {
         auto &call = calls_.at(exchange.value);
-        if (call.passing) {
-            pass(exchange, call, std::move(data));
+        if (call.isForwarding) {
+            forward(exchange, call, std::move(data));
             return;
         }
-        call.held.body += data;
-        const bool large = call.held.body.size() > holdBytes;
-        if (large && call.answer.kind == AnswerKind::Success && !call.holdAnswer) {
-            startPassing(exchange, call);
+        call.heldReply.body += data;
+        const bool isLarge = call.heldReply.body.size() > maxHeldBytes;
+        if (isLarge && call.answer.kind == AnswerKind::Success && !call.holdAnswer) {
+            startForwarding(exchange, call);
         }
     }
 
@@ -285,7 +286,7 @@
         }
         auto &call = found->second;
         call.client = nullptr;
-        const auto status = call.held.status;
+        const auto status = call.heldReply.status;
         if (end == ExchangeEnd::Unreachable) {
             endAttempt(exchange, call, AttemptEnd::Unreachable, 0);
             return;
@@ -302,17 +303,17 @@
             endAttempt(exchange, call, AttemptEnd::OwnFailure, status);
             return;
         }
-        if (call.passing) {
+        if (call.isForwarding) {
             server_->finish(exchange);
         } else {
-            server_->reply(exchange, std::move(call.held));
+            server_->reply(exchange, std::move(call.heldReply));
         }
         AttemptResult result;
         result.end = AttemptEnd::Answered;
         result.status = status;
         result.longestPause = call.longestPause;
         calls_.erase(found);
-        handlers_.ended(exchange, attempt, result);
+        handlers_.onAttemptEnded(exchange, attempt, result);
     }
 
     void endAttempt(HttpExchange exchange, RelayedCall &call, AttemptEnd end, std::uint32_t status)
@@ -321,19 +322,19 @@
         result.end = end;
         result.refusal = call.answer.refusal;
         result.status = status;
-        result.callerHasBytes = call.passing;
+        result.callerHasBytes = call.isForwarding;
         result.longestPause = call.longestPause;
-        handlers_.ended(exchange, call.attempt, result);
+        handlers_.onAttemptEnded(exchange, call.attempt, result);
     }
 
     void stopAttempt(RelayedCall &call)
     {
         if (auto *client = std::exchange(call.client, nullptr)) {
-            client->abort(call.upstream);
+            client->abort(call.upstreamExchange);
         }
     }
 
-    /// Ends the call towards its caller; an attempt that is under way is stopped.
+    /// Replies to the caller, removes the call and stops an attempt in progress.
     void finish(CallHandle handle, HttpReply reply)
     {
         const auto found = calls_.find(handle.value);
@@ -347,7 +348,7 @@
 
     RelayHandlers handlers_;
     HttpServer *server_ = nullptr;
-    std::unordered_map<std::uint64_t, RelayedCall> calls_; // by exchange
+    std::unordered_map<std::uint64_t, RelayedCall> calls_; // by exchange id
     std::unordered_map<std::string, std::unique_ptr<HttpClient>> clients_; // by address
 };
 
--- a/src/daemon/direct_settings.cpp
+++ b/src/daemon/direct_settings.cpp
@@ -1,17 +1,17 @@
-// Settings of the direct path, in the types of its library.
+// Conversion of the direct-path settings.
 #include "direct_settings.h"
 
 namespace anvilscale {
 
 tl::expected<DirectPolicy, StartError> directPolicy(const settings::Settings &settings)
 {
-    const auto without = readMechanisms(settings.direct().without());
-    if (!without) {
+    const auto disabled = readMechanisms(settings.direct().without());
+    if (!disabled) {
         return tl::unexpected(
-            StartError{StartErrorKind::Mechanism, "direct.without", "no mechanism is called " + without.error()});
+            StartError{StartErrorKind::Mechanism, "direct.without", "unknown mechanism: " + disabled.error()});
     }
     DirectPolicy policy;
-    policy.without = *without;
+    policy.without = *disabled;
     return policy;
 }
 
@@ -40,12 +40,12 @@
 
 CrashReporterInit crashReporterInit(const settings::Settings &settings, std::uint64_t incarnation)
 {
-    const auto follower = storeFollowerInit(settings, incarnation);
+    const auto watcher = storeFollowerInit(settings, incarnation);
     CrashReporterInit init;
-    init.address = follower.address;
+    init.address = watcher.address;
     init.name = settings.name() + "-" + std::to_string(incarnation);
-    init.times = follower.times;
-    init.seed = follower.seed;
+    init.times = watcher.times;
+    init.seed = watcher.seed;
     return init;
 }
 
--- a/src/daemon/direct_settings.h
+++ b/src/daemon/direct_settings.h
@@ -1,4 +1,4 @@
-// What the decisions of the direct path take from the settings.
+// Conversion of settings to the types of the direct path.
 #pragma once
 
 #include "crash_reporter.h"
@@ -8,7 +8,7 @@
 
 namespace anvilscale {
 
-/// The policy with the mechanisms that the settings switch off.
+/// Returns the policy without the mechanisms that the settings disable, or an error for an unknown mechanism.
 tl::expected<DirectPolicy, StartError> directPolicy(const settings::Settings &settings);
 DirectCallsInit directCallsInit(const settings::Settings &settings, const DirectPolicy &policy);
 StoreFollowerInit storeFollowerInit(const settings::Settings &settings, std::uint64_t incarnation);
--- a/src/daemon/direct_sidecar.h
+++ b/src/daemon/direct_sidecar.h
@@ -1,4 +1,4 @@
-// A sidecar of the direct path as a process: it reads its engine's report and orders models and adapters into it.
+// Process of a direct-path sidecar: polls the reports of its engine and orders models and adapters.
 #pragma once
 
 #include "control_loop.h"
@@ -29,7 +29,7 @@
         init.lifeSign = LifeSign::KeepAlive;
         auto messenger = Messenger::create(init, sidecar->messengerHandlers());
         if (!messenger) {
-            return tl::unexpected(startError(StartErrorKind::ControlAddress, "control", messenger.error()));
+            return tl::unexpected(makeStartError(StartErrorKind::ControlAddress, "control", messenger.error()));
         }
         sidecar->messenger_ = std::move(*messenger);
         return sidecar;
@@ -48,17 +48,17 @@
         loop_.post([this] {
             HttpClientInit init;
             init.address = settings_.direct().endpoint().substr(std::string_view("http://").size());
-            init.connectTimeout = answerTime;
+            init.connectTimeout = answerTimeout;
             init.keepIdle = Milliseconds(700);
             init.keepMargin = Milliseconds(300);
             client_ = std::make_unique<HttpClient>(loop_, init);
-            shareStore();
+            startSharedWatch();
         });
-        control_.post([this](Now) { readReport(); });
+        control_.post([this](Now) { requestReport(); });
         logEvent(Event::ProcessStarted, {{"role", settings_.role()}, {"incarnation", incarnation_}});
     }
 
-    /// Nothing of a call passes here: there is nothing to wait for.
+    /// Calls do not pass through the sidecar, so there is no work to wait for.
     void drain(const std::function<void()> &done)
     {
         logEvent(Event::DrainStarted);
@@ -74,13 +74,13 @@
 
     void shutdown()
     {
-        if (std::exchange(down_, true)) {
+        if (std::exchange(isShutDown_, true)) {
             return;
         }
         control_.stop();
         loop_.post([this] {
             client_.reset();
-            storeShare_.reset();
+            sharedWatch_.reset();
         });
         loop_.stop();
         if (messenger_) {
@@ -98,28 +98,28 @@
     }
 
 private:
-    // The engine answers on the same VM within a millisecond; beyond this it is stopped or overloaded.
-    static constexpr Duration answerTime = Milliseconds(500);
-    static constexpr Duration calmInterval = Milliseconds(200); // between reports
-    static constexpr Duration busyInterval = Milliseconds(25); // while a load is under way: its end is told at once
-    static constexpr Duration learnedInterval = Seconds(10); // between lines of what was learned
-    // An entry takes three messages that are missing as a loss, and one as a sign that the VM has stopped: where few
-    // entries listen, it costs little to be heard more often.
-    static constexpr Duration longestInterval = Milliseconds(500);
-    static constexpr Duration shortestInterval = Milliseconds(250);
-    static constexpr Duration leastInterval = Milliseconds(20); // between two messages, however much work has moved
+    // The engine runs on the same VM: without an answer in this time it is stopped or overloaded.
+    static constexpr Duration answerTimeout = Milliseconds(500);
+    static constexpr Duration idleReportInterval = Milliseconds(200); // between reports while no load is in progress
+    static constexpr Duration busyReportInterval = Milliseconds(25); // during a load, to report its end immediately
+    static constexpr Duration loadLogInterval = Seconds(10); // between log lines of load times
+    // Entries treat three missing messages as a loss and one as a paused VM, so a few entries get messages at a shorter
+    // interval.
+    static constexpr Duration maxUpdateInterval = Milliseconds(500);
+    static constexpr Duration minStateInterval = Milliseconds(250);
+    static constexpr Duration minUpdateInterval = Milliseconds(20); // regardless of the change of pending work
 
-    // Work that entries have sent is told to the others in steps of some 80 ms of reading.
-    static constexpr std::uint64_t workStep = 3000; // tokens
-    // Least time between two messages to an entry that waits for nothing, for each entry that listens: news age with
-    // the number of entries, while the messages of one sidecar stay at some 125 a second.
-    static constexpr Duration newsIntervalPerEntry = Milliseconds(8);
+    // Change of pending work that triggers an update, about 80 ms of prompt processing.
+    static constexpr std::uint64_t minWorkChange = 3000; // tokens
+    // Minimum time between two messages to an entry without waiting calls, per connected entry. Bounds the message rate
+    // of a sidecar; the age of the state grows with the number of entries.
+    static constexpr Duration updateIntervalPerEntry = Milliseconds(8);
 
     DirectSidecar(const settings::Settings &settings, const DirectPolicy &policy)
         : settings_(settings)
         , incarnation_(newIncarnation())
-        , keeper_(incarnation_ / 1000,
-                  policy) // milliseconds: grows with each start of this VM, the only one that orders
+        // Fencing number in milliseconds: grows with each start on this VM, the only sender of orders.
+        , controller_(incarnation_ / 1000, policy)
         , control_([this](Now now) { afterEvents(now.mono); })
         , loop_("engine")
     {
@@ -130,24 +130,24 @@
         Messenger::Handlers handlers;
         handlers.fromPeer = [this](PeerHandle peer, wire::Envelope &&message) {
             if (message.has_store_ask()) {
-                onStoreAsk(peer, message.store_ask());
+                onSharedWatchRequest(peer, message.store_ask());
             }
             if (!message.has_direct_demand()) {
                 return;
             }
             control_.post([this, peer, demand = message.direct_demand()](Now now) {
-                keeper_.applyDemand(peer, demand, now.mono);
-                news_.entryHas(peer, demand.state_sequence());
-                if (peers_.insert(peer).second) {
-                    stateDue_ = now.mono;
+                controller_.applyDemand(peer, demand, now.mono);
+                statePublisher_.entryHas(peer, demand.state_sequence());
+                if (entries_.insert(peer).second) {
+                    nextStateAt_ = now.mono;
                 }
             });
         };
         handlers.peerLost = [this](PeerHandle peer) {
             control_.post([this, peer](Now) {
-                peers_.erase(peer);
-                news_.entryLost(peer);
-                keeper_.peerLost(peer);
+                entries_.erase(peer);
+                statePublisher_.entryLost(peer);
+                controller_.peerLost(peer);
             });
         };
         handlers.fromTarget = [](const std::string &, wire::Envelope &&) {};
@@ -157,42 +157,43 @@
         return handlers;
     }
 
-    /// Asks the store for entries that put their questions here.
-    void shareStore()
+    /// Starts watching the store for entries that send their requests here.
+    void startSharedWatch()
     {
         if (settings_.direct().store().empty()) {
             return;
         }
-        const auto follower = storeFollowerInit(settings_, incarnation_);
-        const StoreShareInit init{settings_.direct().store(), follower.address, follower.times};
-        const auto answer = [this](PeerHandle entry, const wire::StoreNews &news) {
+        const auto watcher = storeFollowerInit(settings_, incarnation_);
+        const SharedStoreWatchInit init{settings_.direct().store(), watcher.address, watcher.times};
+        const auto sendUpdate = [this](PeerHandle entry, const wire::StoreNews &update) {
             wire::Envelope message;
-            *message.mutable_store_news() = news;
+            *message.mutable_store_news() = update;
             messenger_->sendTo(entry, message);
         };
-        storeShare_ = std::make_unique<StoreShare<Dialect>>(loop_, init, answer);
+        sharedWatch_ = std::make_unique<SharedStoreWatch<Dialect>>(loop_, init, sendUpdate);
     }
 
-    void onStoreAsk(PeerHandle entry, const wire::StoreAsk &ask)
+    void onSharedWatchRequest(PeerHandle entry, const wire::StoreAsk &message)
     {
-        const StorePosition after{ask.era(), ask.after()};
-        loop_.post(
-            [this, question = StoreQuestion{entry, ask.store(), ask.call(), after, Milliseconds(ask.wait_ms())}] {
-                if (storeShare_) {
-                    storeShare_->ask(question);
-                }
-            });
+        const StorePosition after{message.era(), message.after()};
+        loop_.post([this, request = SharedWatchRequest{entry, message.store(), message.call(), after,
+                                                       Milliseconds(message.wait_ms())}] {
+            if (sharedWatch_) {
+                sharedWatch_->addRequest(request);
+            }
+        });
     }
 
-    /// One exchange with the engine; `done` gets its head and body, or none, in the control thread.
-    void ask(EndpointRequest request, Duration timeout,
-             std::function<void(Now, std::optional<HttpResponseHead>, std::string)> done)
+    /// Sends a request to the engine. `done` runs on the control thread with the head, if the exchange completed, and
+    /// the body.
+    void sendRequest(EndpointRequest request, Duration timeout,
+                     std::function<void(Now, std::optional<HttpResponseHead>, std::string)> done)
     {
         loop_.post([this, request = std::move(request), timeout, done = std::move(done)] {
             auto head = std::make_shared<std::optional<HttpResponseHead>>();
             auto body = std::make_shared<std::string>();
             ExchangeHandlers handlers;
-            handlers.head = [head](const HttpResponseHead &got) { *head = got; };
+            handlers.head = [head](const HttpResponseHead &received) { *head = received; };
             handlers.data = [body](const std::string &data) { *body += data; };
             handlers.end = [this, head, body, done](ExchangeEnd end) {
                 if (end != ExchangeEnd::Complete) {
@@ -204,36 +205,38 @@
         });
     }
 
-    void readReport()
+    void requestReport()
     {
-        reading_ = true;
-        ask(Dialect::reportRequest(), answerTime,
-            [this](Now now, const std::optional<HttpResponseHead> &head, const std::string &body) {
-                reading_ = false;
-                const auto report = head && head->status == 200 ? Dialect::readReport(*head, body) : std::nullopt;
-                noteReachable(report.has_value());
-                if (report) {
-                    keeper_.applyReport(*report, now.mono);
-                    logLearned(now.mono);
-                } else {
-                    keeper_.reportFailed(now.mono);
-                }
-                const bool busy = report && (!report->pending.empty() || report->busy || keeper_.waits());
-                control_.timers().subscribe(now.mono + (busy ? busyInterval : calmInterval), [this](TimePoint) {
-                    if (!reading_) {
-                        readReport();
-                    }
-                });
-            });
+        isReadingReport_ = true;
+        sendRequest(Dialect::reportRequest(), answerTimeout,
+                    [this](Now now, const std::optional<HttpResponseHead> &head, const std::string &body) {
+                        isReadingReport_ = false;
+                        const auto report =
+                            head && head->status == 200 ? Dialect::readReport(*head, body) : std::nullopt;
+                        setReachable(report.has_value());
+                        if (report) {
+                            controller_.applyReport(*report, now.mono);
+                            logLoadTimes(now.mono);
+                        } else {
+                            controller_.reportFailed(now.mono);
+                        }
+                        const bool isBusy = report && (!report->pending.empty() || report->busy || controller_.waits());
+                        control_.timers().subscribe(now.mono + (isBusy ? busyReportInterval : idleReportInterval),
+                                                    [this](TimePoint) {
+                                                        if (!isReadingReport_) {
+                                                            requestReport();
+                                                        }
+                                                    });
+                    });
     }
 
-    void logLearned(TimePoint now)
+    void logLoadTimes(TimePoint now)
     {
-        if (now < learnedDue_) {
+        if (now < nextLoadLogAt_) {
             return;
         }
-        learnedDue_ = now + learnedInterval;
-        const auto state = keeper_.state(now);
+        nextLoadLogAt_ = now + loadLogInterval;
+        const auto state = controller_.state(now);
         logEvent(Event::LoadsLearned, {{"loadMs", std::uint64_t{state.load_ms()}},
                                        {"recentLoadMs", std::uint64_t{state.recent_load_ms()}},
                                        {"copyMs", std::uint64_t{state.copy_ms()}},
@@ -242,132 +245,132 @@
                                        {"loadsAtOnce", std::uint64_t{state.loads_at_once()}}});
     }
 
-    void noteReachable(bool reachable)
+    void setReachable(bool isReachable)
     {
-        if (std::exchange(reachable_, reachable) != reachable) {
-            logEvent(reachable ? Event::EndpointBack : Event::EndpointLost,
+        if (std::exchange(isReachable_, isReachable) != isReachable) {
+            logEvent(isReachable ? Event::EndpointBack : Event::EndpointLost,
                      {{"endpoint", settings_.direct().endpoint()}});
         }
     }
 
     void afterEvents(TimePoint now)
     {
-        if (const auto order = keeper_.nextOrder(now)) {
+        if (const auto order = controller_.nextOrder(now)) {
             sendOrder(*order);
         }
-        const auto work = keeper_.pendingWork();
-        const auto moved = work > toldWork_ ? work - toldWork_ : toldWork_ - work;
-        const bool news = keeper_.revision() != toldRevision_;
-        const auto due = toldAt_ + (moved >= workStep ? newsInterval(moved) : newsInterval());
-        if (now >= stateDue_ || ((news || moved >= workStep) && now >= due)) {
-            tellAll(now);
-        } else if (news && keeper_.revision() != urgentRevision_) {
-            tellWaiting(now);
-        } else if (moved >= workStep && stateDue_ > due) {
-            wakeAt(due);
+        const auto work = controller_.pendingWork();
+        const auto changedWork = work > lastSentWork_ ? work - lastSentWork_ : lastSentWork_ - work;
+        const bool hasNewState = controller_.revision() != lastSentRevision_;
+        const auto due = lastSentAt_ + (changedWork >= minWorkChange ? updateInterval(changedWork) : updateInterval());
+        if (now >= nextStateAt_ || ((hasNewState || changedWork >= minWorkChange) && now >= due)) {
+            sendStateToAll(now);
+        } else if (hasNewState && controller_.revision() != lastUrgentRevision_) {
+            sendStateToWaiting(now);
+        } else if (changedWork >= minWorkChange && nextStateAt_ > due) {
+            scheduleState(due);
         }
     }
 
-    /// The more work has come or gone, the sooner entries hear of it: of an engine that many of them choose at the same
-    /// time, on old news, each would believe for half a second that it is free.
-    Duration newsInterval(std::uint64_t moved) const
+    /// Shortens the interval as pending work changes more. Prevents many entries from choosing the same engine on
+    /// outdated state.
+    Duration updateInterval(std::uint64_t changedWork) const
     {
-        const auto least = std::max<Duration>(leastInterval, newsInterval() / 8);
-        return std::max<Duration>(least, newsInterval() * workStep / moved);
+        const auto minInterval = std::max<Duration>(minUpdateInterval, updateInterval() / 8);
+        return std::max<Duration>(minInterval, updateInterval() * minWorkChange / changedWork);
     }
 
     void sendOrder(const EngineOrder &order)
     {
-        ask(Dialect::orderRequest(order, settings_.name()), keeper_.orderTimeout(),
-            [this, order](Now now, const std::optional<HttpResponseHead> &head, const std::string &) {
-                const auto result = head ? Dialect::readOrderResult(*head) : EngineOrderResult::NoAnswer;
-                const auto incarnation = head ? Dialect::incarnationOf(*head) : std::string();
-                logEvent(Event::EngineOrder, {{"order", std::string(toString(order.kind))},
-                                              {"model", order.model},
-                                              {"adapter", order.adapter},
-                                              {"endpoint", order.endpointId},
-                                              {"expected", order.expected},
-                                              {"fence", order.fence},
-                                              {"result", std::string(toString(result))},
-                                              {"incarnation", incarnation}});
-                keeper_.orderEnded(order.id, result, incarnation, now.mono);
-                if (!reading_) {
-                    readReport();
-                }
-            });
+        sendRequest(Dialect::orderRequest(order, settings_.name()), controller_.orderTimeout(),
+                    [this, order](Now now, const std::optional<HttpResponseHead> &head, const std::string &) {
+                        const auto result = head ? Dialect::readOrderResult(*head) : EngineOrderResult::NoAnswer;
+                        const auto incarnation = head ? Dialect::incarnationOf(*head) : std::string();
+                        logEvent(Event::EngineOrder, {{"order", std::string(toString(order.kind))},
+                                                      {"model", order.model},
+                                                      {"adapter", order.adapter},
+                                                      {"endpoint", order.endpointId},
+                                                      {"expected", order.expected},
+                                                      {"fence", order.fence},
+                                                      {"result", std::string(toString(result))},
+                                                      {"incarnation", incarnation}});
+                        controller_.orderEnded(order.id, result, incarnation, now.mono);
+                        if (!isReadingReport_) {
+                            requestReport();
+                        }
+                    });
     }
 
-    void updateNews(TimePoint now)
+    void updateState(TimePoint now)
     {
-        auto state = keeper_.state(now);
+        auto state = controller_.state(now);
         state.set_interval_ms(static_cast<std::uint32_t>(wholeMs(stateInterval())));
         state.set_shares_store(!settings_.direct().store().empty());
-        news_.update(state);
+        statePublisher_.update(state);
     }
 
-    void tellAll(TimePoint now)
+    void sendStateToAll(TimePoint now)
     {
-        toldRevision_ = keeper_.revision();
-        urgentRevision_ = toldRevision_;
-        toldWork_ = keeper_.pendingWork();
-        toldAt_ = now;
-        wakeAt(now + stateInterval());
-        updateNews(now);
-        for (const auto peer : peers_) {
-            messenger_->sendTo(peer, news_.messageFor(peer));
+        lastSentRevision_ = controller_.revision();
+        lastUrgentRevision_ = lastSentRevision_;
+        lastSentWork_ = controller_.pendingWork();
+        lastSentAt_ = now;
+        scheduleState(now + stateInterval());
+        updateState(now);
+        for (const auto peer : entries_) {
+            messenger_->sendTo(peer, statePublisher_.messageFor(peer));
         }
     }
 
-    /// Entries whose calls wait for an adapter hear of every change at once, the others a little later.
-    void tellWaiting(TimePoint now)
+    /// Entries with calls that wait for an adapter get every change immediately, the others after updateInterval().
+    void sendStateToWaiting(TimePoint now)
     {
-        urgentRevision_ = keeper_.revision();
-        if (stateDue_ > toldAt_ + newsInterval()) {
-            wakeAt(std::max(now, toldAt_ + newsInterval()));
+        lastUrgentRevision_ = controller_.revision();
+        if (nextStateAt_ > lastSentAt_ + updateInterval()) {
+            scheduleState(std::max(now, lastSentAt_ + updateInterval()));
         }
-        updateNews(now);
-        for (const auto peer : peers_) {
-            if (keeper_.waitsFor(peer)) {
-                messenger_->sendTo(peer, news_.messageFor(peer));
+        updateState(now);
+        for (const auto peer : entries_) {
+            if (controller_.waitsFor(peer)) {
+                messenger_->sendTo(peer, statePublisher_.messageFor(peer));
             }
         }
     }
 
-    Duration newsInterval() const
+    Duration updateInterval() const
     {
-        return std::min<Duration>(longestInterval, newsIntervalPerEntry * peers_.size());
+        return std::min<Duration>(maxUpdateInterval, updateIntervalPerEntry * entries_.size());
     }
 
-    /// Longest time between two messages to an entry.
+    /// Maximum time between two messages to an entry.
     Duration stateInterval() const
     {
-        return std::max<Duration>(shortestInterval, newsInterval());
+        return std::max<Duration>(minStateInterval, updateInterval());
     }
 
-    void wakeAt(TimePoint at)
+    void scheduleState(TimePoint at)
     {
-        stateDue_ = at;
+        nextStateAt_ = at;
         control_.timers().subscribe(at, [](TimePoint) {});
     }
 
     settings::Settings settings_;
     std::uint64_t incarnation_;
-    AdapterKeeper keeper_; // control thread, as all below
-    std::set<PeerHandle> peers_; // entries that have told what they want
-    StateNews news_;
-    bool reading_ = false;
-    bool reachable_ = true;
-    std::uint64_t toldRevision_ = 0; // that all entries know
-    std::uint64_t urgentRevision_ = 0; // that the waiting entries know
-    std::uint64_t toldWork_ = 0; // that all entries know
-    TimePoint toldAt_{};
-    TimePoint learnedDue_{};
-    TimePoint stateDue_{};
-    bool down_ = false;
+    AdapterKeeper controller_; // control thread, as are the members below up to nextStateAt_
+    std::set<PeerHandle> entries_; // entries that have sent a demand
+    StateNews statePublisher_;
+    bool isReadingReport_ = false;
+    bool isReachable_ = true;
+    std::uint64_t lastSentRevision_ = 0; // last revision sent to all entries
+    std::uint64_t lastUrgentRevision_ = 0; // last revision sent to entries with waiting calls
+    std::uint64_t lastSentWork_ = 0; // pending work last sent to all entries
+    TimePoint lastSentAt_{};
+    TimePoint nextLoadLogAt_{};
+    TimePoint nextStateAt_{};
+    bool isShutDown_ = false;
     ControlLoop control_;
     EventLoop loop_;
     std::unique_ptr<HttpClient> client_; // the loop's thread
-    std::unique_ptr<StoreShare<Dialect>> storeShare_; // the loop's thread; none: the settings name no store
+    std::unique_ptr<SharedStoreWatch<Dialect>> sharedWatch_; // the loop's thread; null if the settings name no store
     std::unique_ptr<Messenger> messenger_;
 };
 
--- a/src/daemon/entry_daemon.cpp
+++ b/src/daemon/entry_daemon.cpp
@@ -1,4 +1,4 @@
-// Set-up of an entry, and the way of calls through it.
+// EntryDaemon: construction, HTTP requests and actions of the decisions.
 #include "entry_daemon.h"
 
 #include "caller_reply.h"
@@ -28,7 +28,7 @@
     return init;
 }
 
-const std::vector<double> stallBounds{0.001, 0.01, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30};
+const std::vector<double> stallBucketBounds{0.001, 0.01, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30};
 const std::vector<double> fillBounds{0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1.0};
 
 } // namespace
@@ -36,11 +36,12 @@
 EntryDaemon::EntryDaemon(const settings::Settings &settings)
     : settings_(settings)
     , incarnation_(newIncarnation())
-    , timing_(timingOf(settings))
+    , timing_(readTiming(settings))
     , control_([this](Now now) { afterBatch(now); })
     , random_(hash64(settings.name(), incarnation_))
-    , stallSeconds_("anvilscale_load_stall_seconds", "time that calls waited for their adapter", stallBounds)
-    , stepFill_("anvilscale_step_fill_ratio", "how full engine steps were, as engines report it", fillBounds)
+    , stallSeconds_("anvilscale_load_stall_seconds", "time that calls waited for their adapter to load",
+                    stallBucketBounds)
+    , stepFill_("anvilscale_step_fill_ratio", "fill ratio of engine steps as reported by engines", fillBounds)
 {
 }
 
@@ -52,55 +53,61 @@
 tl::expected<std::unique_ptr<EntryDaemon>, StartError> EntryDaemon::create(const settings::Settings &settings)
 {
     std::unique_ptr<EntryDaemon> entry(new EntryDaemon(settings));
-    if (auto bound = entry->bindAll(); !bound) {
+    if (auto bound = entry->bindSockets(); !bound) {
         return tl::unexpected(bound.error());
     }
-    entry->makeDecisions();
+    entry->createDecisions();
     return entry;
 }
 
-tl::expected<void, StartError> EntryDaemon::bindAll()
+tl::expected<void, StartError> EntryDaemon::bindSockets()
 {
-    Messenger::Handlers messages;
-    messages.fromPeer = [this](PeerHandle peer, wire::Envelope &&message) { onPeerMessage(peer, std::move(message)); };
-    messages.peerLost = [this](PeerHandle peer) {
+    Messenger::Handlers messengerHandlers;
+    messengerHandlers.fromPeer = [this](PeerHandle peer, wire::Envelope &&message) {
+        onPeerMessage(peer, std::move(message));
+    };
+    messengerHandlers.peerLost = [this](PeerHandle peer) {
         control_.post(
-            [this, peer](Now) { std::erase_if(peers_, [&](const auto &each) { return each.second == peer; }); });
+            [this, peer](Now) { std::erase_if(peers_, [&](const auto &item) { return item.second == peer; }); });
     };
-    messages.fromTarget = [this](const std::string &name, wire::Envelope &&message) {
+    messengerHandlers.fromTarget = [this](const std::string &name, wire::Envelope &&message) {
         onTargetMessage(name, std::move(message));
     };
-    messages.targetUp = [this](const std::string &name) { control_.post([this, name](Now) { onTargetUp(name); }); };
-    messages.targetLost = [this](const std::string &name) {
+    messengerHandlers.targetUp = [this](const std::string &name) {
+        control_.post([this, name](Now) { onTargetUp(name); });
+    };
+    messengerHandlers.targetLost = [this](const std::string &name) {
         control_.post([this, name](Now now) { onTargetLost(name, now); });
     };
-    messages.sendFailed = [this](const std::string &name, const wire::AttemptId &id) {
+    messengerHandlers.sendFailed = [this](const std::string &name, const wire::AttemptId &id) {
         control_.post([this, name, id](Now now) { decisions_->onSendFailed(name, id, now); });
     };
-    auto messenger = Messenger::create(messengerInit(settings_, incarnation_), std::move(messages));
+    auto messenger = Messenger::create(messengerInit(settings_, incarnation_), std::move(messengerHandlers));
     if (!messenger) {
-        return tl::unexpected(startError(StartErrorKind::ControlAddress, "control.port", messenger.error()));
+        return tl::unexpected(makeStartError(StartErrorKind::ControlAddress, "control.port", messenger.error()));
     }
     messenger_ = std::move(*messenger);
 
-    HttpServer::Handlers http;
-    http.request = [this](HttpExchange exchange, HttpRequestData request) { onRequest(exchange, std::move(request)); };
-    http.gone = [this](HttpExchange exchange, FailureReason why) {
-        control_.post([this, exchange, why](Now now) {
-            if (why == FailureReason::SlowReader) {
+    HttpServer::Handlers httpHandlers;
+    httpHandlers.request = [this](HttpExchange exchange, HttpRequestData request) {
+        onRequest(exchange, std::move(request));
+    };
+    httpHandlers.gone = [this](HttpExchange exchange, FailureReason reason) {
+        control_.post([this, exchange, reason](Now now) {
+            if (reason == FailureReason::SlowReader) {
                 logEvent(Event::SlowReaderCut, {{"call", exchange.value}});
             }
-            decisions_->onCallerGone(CallHandle{exchange.value}, why, now);
+            decisions_->onCallerGone(CallHandle{exchange.value}, reason, now);
         });
     };
-    http.taken = [this](HttpExchange exchange, std::uint64_t bytes) {
+    httpHandlers.taken = [this](HttpExchange exchange, std::uint64_t bytes) {
         control_.post(
             [this, exchange, bytes](Now now) { decisions_->onCallerTook(CallHandle{exchange.value}, bytes, now); });
     };
-    http.problem = [](HttpProblem problem) { return problemReply(problem); };
-    auto server = HttpServer::create(httpInit(settings_), std::move(http));
+    httpHandlers.problem = [](HttpProblem problem) { return httpErrorReply(problem); };
+    auto server = HttpServer::create(httpInit(settings_), std::move(httpHandlers));
     if (!server) {
-        return tl::unexpected(startError(StartErrorKind::HttpAddress, "http.port", server.error()));
+        return tl::unexpected(makeStartError(StartErrorKind::HttpAddress, "http.port", server.error()));
     }
     http_ = std::move(*server);
     if (auto written = writePortFile(settings_.control(), messenger_->port(), "control.portFile"); !written) {
@@ -109,7 +116,7 @@
     return writePortFile(settings_.http(), http_->port(), "http.portFile");
 }
 
-void EntryDaemon::makeDecisions()
+void EntryDaemon::createDecisions()
 {
     auto &timers = control_.timers();
     const auto &prefix = settings_.platform().prefix();
@@ -128,28 +135,31 @@
     entry.seed = random_.next();
     decisions_ = std::make_unique<EntryDecisions>(entry);
 
-    ConfigSpread::Init spread;
-    spread.self = settings_.name();
-    spread.incarnation = incarnation_;
-    spread.dataCentre = settings_.data_centre();
-    spread.keyPrefix = prefix;
-    spread.mayWatch = true;
-    spread.timing = timing_;
-    spread.store = &config_;
-    spread.timers = &timers;
-    spread.seed = random_.next();
-    ConfigSpread::Callbacks calls;
-    calls.submit = kvMux_->part([this](const KvReply &reply, Now now) { spread_->onReply(reply, now); });
-    calls.sendToPeer = [this](const std::string &peer, const wire::Envelope &message) { sendToPeer(peer, message); };
-    calls.changed = [this](Now now) { onConfigChanged(now); };
-    calls.refused = [](const ConfigError &error, Now) {
+    ConfigSpread::Init distributorInit;
+    distributorInit.self = settings_.name();
+    distributorInit.incarnation = incarnation_;
+    distributorInit.dataCentre = settings_.data_centre();
+    distributorInit.keyPrefix = prefix;
+    distributorInit.mayWatch = true;
+    distributorInit.timing = timing_;
+    distributorInit.store = &config_;
+    distributorInit.timers = &timers;
+    distributorInit.seed = random_.next();
+    ConfigSpread::Callbacks callbacks;
+    callbacks.submit =
+        kvMux_->addClient([this](const KvReply &reply, Now now) { configDistributor_->onReply(reply, now); });
+    callbacks.sendToPeer = [this](const std::string &peer, const wire::Envelope &message) {
+        sendToPeer(peer, message);
+    };
+    callbacks.changed = [this](Now now) { onConfigChanged(now); };
+    callbacks.refused = [](const ConfigError &error, Now) {
         logEvent(Event::ConfigRejected, {{"kind", std::string(toString(error.kind))}, {"path", error.path}});
     };
-    spread_ = std::make_unique<ConfigSpread>(spread, std::move(calls));
+    configDistributor_ = std::make_unique<ConfigSpread>(distributorInit, std::move(callbacks));
 
-    slots_ = std::make_unique<SlotTables>(
+    slotTables_ = std::make_unique<SlotTables>(
         SlotTables::Init{prefix, timing_.configPoll, &timers, random_.next()},
-        kvMux_->part([this](const KvReply &reply, Now now) { slots_->onReply(reply, now); }),
+        kvMux_->addClient([this](const KvReply &reply, Now now) { slotTables_->onReply(reply, now); }),
         [this](const config::SlotTable &table, Now now) { decisions_->onSlotTable(table, now); });
 
     if (settings_.entry().scheduler_candidate()) {
@@ -162,7 +172,7 @@
         lease.timers = &timers;
         lease.seed = random_.next();
         lease_ = std::make_unique<LeaseKeeper>(
-            lease, kvMux_->part([this](const KvReply &reply, Now now) { lease_->onReply(reply, now); }));
+            lease, kvMux_->addClient([this](const KvReply &reply, Now now) { lease_->onReply(reply, now); }));
         LoadScheduler::Init scheduler;
         scheduler.name = settings_.name();
         scheduler.incarnation = incarnation_;
@@ -174,7 +184,7 @@
     }
 }
 
-void EntryDaemon::makePlatform()
+void EntryDaemon::createPlatform()
 {
     gateway_ = std::make_unique<EtcdGateway>(gatewayInit(settings_), [this](KvReply reply) {
         control_.post([this, reply = std::move(reply)](Now now) { kvMux_->onReply(reply, now); });
@@ -186,10 +196,10 @@
 
 void EntryDaemon::start()
 {
-    makePlatform();
+    createPlatform();
     control_.post([this](Now now) {
-        spread_->start(now);
-        slots_->start(now);
+        configDistributor_->start(now);
+        slotTables_->start(now);
         if (lease_) {
             lease_->start(now);
         }
@@ -207,8 +217,8 @@
 
 void EntryDaemon::drain(std::function<void()> done)
 {
-    draining_ = true;
-    ready_ = false;
+    isDraining_ = true;
+    isReady_ = false;
     logEvent(Event::DrainStarted, {{"role", std::string("entry")}});
     http_->drain([this, done = std::move(done)] {
         logEvent(Event::DrainFinished, {{"role", std::string("entry")}});
@@ -216,7 +226,7 @@
             if (lease_) {
                 lease_->stop(now);
             }
-            // A moment for the lease to be given back, so that the next holder need not wait for its end.
+            // Leaves time to release the lease, so that the next holder need not wait for its expiry.
             control_.timers().subscribe(now.mono + Milliseconds(lease_ ? 200 : 0), [done](TimePoint) { done(); });
         });
     });
@@ -254,24 +264,24 @@
 void EntryDaemon::onRequest(HttpExchange exchange, HttpRequestData request)
 {
     const CallerApiLimits limits{settings_.entry().json_depth_limit(), settings_.entry().stream_buffer_bytes()};
-    auto read = readApiRequest(std::move(request), limits);
-    if (auto *reply = std::get_if<HttpReply>(&read)) {
+    auto parsed = readApiRequest(std::move(request), limits);
+    if (auto *reply = std::get_if<HttpReply>(&parsed)) {
         http_->reply(exchange, std::move(*reply));
         return;
     }
-    if (const auto *path = std::get_if<ApiPath>(&read)) {
-        control_.post([this, exchange, what = *path](Now now) { onApiPath(exchange, what, now); });
+    if (const auto *path = std::get_if<ApiPath>(&parsed)) {
+        control_.post([this, exchange, apiPath = *path](Now now) { onApiPath(exchange, apiPath, now); });
         return;
     }
-    control_.post([this, exchange, call = std::move(std::get<CallerRequest>(read))](Now now) mutable {
+    control_.post([this, exchange, call = std::move(std::get<CallerRequest>(parsed))](Now now) mutable {
         onCall(exchange, std::move(call), now);
     });
 }
 
 void EntryDaemon::onCall(HttpExchange exchange, CallerRequest request, Now now)
 {
-    if (spread_->empty()) {
-        ownRefusals_.add(RefusalReason::NotConfigured);
+    if (configDistributor_->empty()) {
+        localRefusals_.add(RefusalReason::NotConfigured);
         CallError error{Verdict::NotRun, RefusalReason::NotConfigured, FailureReason::None, Seconds(1)};
         http_->reply(exchange, errorReply(error));
         return;
@@ -286,13 +296,13 @@
         http_->reply(exchange, jsonReply(200, R"({"healthy":true})"));
         return;
     case ApiPath::Ready:
-        http_->reply(exchange, ready_ ? jsonReply(200, R"({"ready":true})") : jsonReply(503, R"({"ready":false})"));
+        http_->reply(exchange, isReady_ ? jsonReply(200, R"({"ready":true})") : jsonReply(503, R"({"ready":false})"));
         return;
     case ApiPath::Metrics:
         http_->reply(exchange, HttpReply{200, {{"Content-Type", "text/plain; version=0.0.4"}}, metrics(), false});
         return;
     case ApiPath::Models:
-        http_->reply(exchange, jsonReply(200, modelList()));
+        http_->reply(exchange, jsonReply(200, modelListJson()));
         return;
     case ApiPath::NewKey:
         http_->reply(exchange, jsonReply(200, R"({"key":")" + makeKey(now.wall, random_) + R"("})"));
@@ -302,10 +312,10 @@
     }
 }
 
-const std::string &EntryDaemon::modelList()
+const std::string &EntryDaemon::modelListJson()
 {
     if (modelListRevision_ == config_.revision()) {
-        return modelList_;
+        return modelListJson_;
     }
     Poco::JSON::Array data;
     for (const auto &record : config_.records()) {
@@ -320,20 +330,20 @@
     Poco::JSON::Object root;
     root.set("object", "list");
     root.set("data", data);
-    modelList_ = toText(root);
+    modelListJson_ = toJsonText(root);
     modelListRevision_ = config_.revision();
-    return modelList_;
+    return modelListJson_;
 }
 
 // ---- actions
 
 void EntryDaemon::afterBatch(Now now)
 {
-    watchLease(now);
-    watchStaleness();
-    ready_ = !draining_ && !spread_->empty();
+    checkLease(now);
+    checkStaleness();
+    isReady_ = !isDraining_ && !configDistributor_->empty();
     for (auto &action : decisions_->takeActions()) {
-        carryOut(action);
+        performAction(action);
     }
     if (scheduler_) {
         for (auto &action : scheduler_->takeActions()) {
@@ -342,7 +352,7 @@
     }
 }
 
-void EntryDaemon::carryOut(EntryAction &action)
+void EntryDaemon::performAction(EntryAction &action)
 {
     std::visit(Overloaded{
                    [this](SendToSidecar &send) { sendToSidecar(send); },
@@ -357,8 +367,8 @@
                    },
                    [this](FinishCall &finish) { http_->finish(HttpExchange{finish.call.value}); },
                    [this](FailCall &fail) {
-                       const bool refused = fail.error.refusal != RefusalReason::None;
-                       logEvent(refused ? Event::CallRefused : Event::CallFailed,
+                       const bool isRefused = fail.error.refusal != RefusalReason::None;
+                       logEvent(isRefused ? Event::CallRefused : Event::CallFailed,
                                 {{"call", fail.call.value},
                                  {"verdict", std::string(toString(fail.error.verdict))},
                                  {"refusal", std::string(toString(fail.error.refusal))},
@@ -373,40 +383,40 @@
 {
     logEvent(Event::ConfigMoved, {{"revision", config_.revision()}});
     decisions_->onConfigChanged(now);
-    for (const auto &[name, address] : connected_) {
-        sayHello(name, false);
+    for (const auto &[name, address] : connectedAddresses_) {
+        sendHello(name, false);
     }
 }
 
-void EntryDaemon::watchLease(Now now)
+void EntryDaemon::checkLease(Now now)
 {
     if (!lease_) {
         return;
     }
-    const bool held = lease_->state() == LeaseState::Held;
-    if (held == leaseHeld_) {
+    const bool isHeld = lease_->state() == LeaseState::Held;
+    if (isHeld == isLeaseHeld_) {
         return;
     }
-    leaseHeld_ = held;
-    logEvent(held ? Event::SchedulerTaken : Event::SchedulerLost, {{"fence", lease_->fence()}});
-    if (held) {
+    isLeaseHeld_ = isHeld;
+    logEvent(isHeld ? Event::SchedulerTaken : Event::SchedulerLost, {{"fence", lease_->fence()}});
+    if (isHeld) {
         scheduler_->onTakeOver(now);
         for (const auto &member : membership_->members()) {
-            if (wants(member)) {
+            if (shouldConnect(member)) {
                 connect(member.name);
             }
         }
     }
-    for (const auto &[name, address] : connected_) {
-        sayHello(name, held);
+    for (const auto &[name, address] : connectedAddresses_) {
+        sendHello(name, isHeld);
     }
 }
 
-void EntryDaemon::watchStaleness()
+void EntryDaemon::checkStaleness()
 {
-    if (spread_->stale() != stale_) {
-        stale_ = spread_->stale();
-        logEvent(stale_ ? Event::ConfigStale : Event::ConfigFresh, {{"revision", config_.revision()}});
+    if (configDistributor_->stale() != isStale_) {
+        isStale_ = configDistributor_->stale();
+        logEvent(isStale_ ? Event::ConfigStale : Event::ConfigFresh, {{"revision", config_.revision()}});
     }
 }
 
--- a/src/daemon/entry_daemon.h
+++ b/src/daemon/entry_daemon.h
@@ -1,4 +1,4 @@
-// The entry as a process: callers on one side, sidecars on the other, decisions between them on the control thread.
+// Process of an entry: callers on one side, sidecars on the other, decisions on the control thread.
 #pragma once
 
 #include "caller_api.h"
@@ -26,7 +26,7 @@
     EntryDaemon &operator=(const EntryDaemon &) = delete;
 
     void start();
-    /// `done` is called, in some thread, once no call is in progress.
+    /// Stops accepting calls. `done` is called on an unspecified thread once no call is in progress.
     void drain(std::function<void()> done);
     void shutdown();
     std::uint16_t controlPort() const;
@@ -34,9 +34,9 @@
 
 private:
     explicit EntryDaemon(const settings::Settings &settings);
-    tl::expected<void, StartError> bindAll();
-    void makeDecisions();
-    void makePlatform();
+    tl::expected<void, StartError> bindSockets();
+    void createDecisions();
+    void createPlatform();
 
     // Traffic threads.
     void onRequest(HttpExchange exchange, HttpRequestData request);
@@ -49,53 +49,53 @@
     void afterBatch(Now now);
     void onCall(HttpExchange exchange, CallerRequest request, Now now);
     void onApiPath(HttpExchange exchange, ApiPath path, Now now);
-    void fromTarget(const std::string &name, const wire::Envelope &message, Now now);
-    void fromPeer(PeerHandle peer, const wire::Envelope &message, Now now);
+    void handleTargetMessage(const std::string &name, const wire::Envelope &message, Now now);
+    void handlePeerMessage(PeerHandle peer, const wire::Envelope &message, Now now);
     void onTargetUp(const std::string &name);
     void onTargetLost(const std::string &name, Now now);
     void onMember(const Member &member);
     void onVmList(const HttpVmList::Result &result, Now now);
     void onConfigChanged(Now now);
-    void watchLease(Now now);
-    void watchStaleness();
-    void carryOut(EntryAction &action);
+    void checkLease(Now now);
+    void checkStaleness();
+    void performAction(EntryAction &action);
     void sendToSidecar(SendToSidecar &action);
     void sendToPeer(const std::string &name, const wire::Envelope &message);
     bool connect(const std::string &name);
-    bool wants(const Member &member) const;
-    bool inFarSample(const std::string &sidecar) const;
-    void sayHello(const std::string &name, bool wantFull);
+    bool shouldConnect(const Member &member) const;
+    bool isInRemoteSample(const std::string &sidecar) const;
+    void sendHello(const std::string &name, bool requestFullState);
     void scheduleHellos(Now now);
     void onStatusRequest(PeerHandle peer, const wire::StatusRequest &request, Now now);
     std::string statusJson() const;
     std::string explainJson(const std::string &route, Now now) const;
     std::string metrics() const;
-    const std::string &modelList();
+    const std::string &modelListJson();
 
     settings::Settings settings_;
     std::uint64_t incarnation_;
     Timing timing_;
     ControlLoop control_;
-    std::atomic<bool> ready_ = false;
-    std::atomic<bool> draining_ = false;
+    std::atomic<bool> isReady_ = false;
+    std::atomic<bool> isDraining_ = false;
 
-    // Control state: the control thread only, from start() on.
+    // Control state: control thread only after start().
     Random random_;
     ConfigStore config_;
     std::unique_ptr<Membership> membership_;
     std::unique_ptr<EntryDecisions> decisions_;
-    std::unique_ptr<LeaseKeeper> lease_; // none unless this entry may schedule loads
+    std::unique_ptr<LeaseKeeper> lease_; // null unless this entry may become the scheduler
     std::unique_ptr<LoadScheduler> scheduler_;
-    std::unique_ptr<ConfigSpread> spread_;
-    std::unique_ptr<SlotTables> slots_;
+    std::unique_ptr<ConfigSpread> configDistributor_;
+    std::unique_ptr<SlotTables> slotTables_;
     std::unique_ptr<KvMux> kvMux_;
-    std::map<std::string, std::string> connected_; // name to address
-    std::map<std::string, PeerHandle> peers_; // processes that connected to us, by the name they gave
-    bool leaseHeld_ = false;
-    bool stale_ = false;
-    bool vmListDown_ = false;
-    Counters<RefusalReason> ownRefusals_; // before a call reached the decisions
-    std::string modelList_;
+    std::map<std::string, std::string> connectedAddresses_; // name to address
+    std::map<std::string, PeerHandle> peers_; // connections accepted from other processes, by process name
+    bool isLeaseHeld_ = false;
+    bool isStale_ = false;
+    bool isVmListDown_ = false;
+    Counters<RefusalReason> localRefusals_; // refusals before a call reached decisions_
+    std::string modelListJson_;
     std::uint64_t modelListRevision_ = ~0ULL;
     HistogramMetric stallSeconds_;
     HistogramMetric stepFill_;
--- a/src/daemon/entry_status.cpp
+++ b/src/daemon/entry_status.cpp
@@ -1,4 +1,4 @@
-// What an entry tells of itself: metrics, and the answers to the operators' tool.
+// EntryDaemon: metrics and replies to the operator tool.
 #include "entry_daemon.h"
 #include "wire.pb.h"
 
@@ -29,13 +29,13 @@
     root.set("incarnation", hexText(incarnation_));
     root.set("dataCentre", settings_.data_centre());
     root.set("region", settings_.region());
-    root.set("ready", ready_.load());
-    root.set("draining", draining_.load());
+    root.set("ready", isReady_.load());
+    root.set("draining", isDraining_.load());
     root.set("revision", config_.revision());
     root.set("digest", hexText(config_.digest()));
-    root.set("stale", spread_->stale());
-    root.set("watching", spread_->watching());
-    root.set("keyValueDown", kvMux_->down());
+    root.set("stale", configDistributor_->stale());
+    root.set("watching", configDistributor_->watching());
+    root.set("keyValueDown", kvMux_->isDown());
     root.set("lease", std::string(toString(lease_ ? lease_->state() : LeaseState::None)));
     root.set("fence", lease_ ? lease_->fence() : 0);
     root.set("openCalls", stats.open);
@@ -54,7 +54,7 @@
         members.add(entry);
     }
     root.set("members", members);
-    return toText(root);
+    return toJsonText(root);
 }
 
 std::string EntryDaemon::explainJson(const std::string &route, Now now) const
@@ -77,7 +77,7 @@
     root.set("loading", list(explanation.loading));
     root.set("choice", explanation.choice);
     root.set("refusal", std::string(toString(explanation.refusal)));
-    return toText(root);
+    return toJsonText(root);
 }
 
 std::string EntryDaemon::metrics() const
@@ -85,18 +85,18 @@
     const auto &stats = decisions_->stats();
     auto refusals = stats.refusals;
     for (std::size_t i = 0; i < enumCount<RefusalReason>; ++i) {
-        refusals.add(static_cast<RefusalReason>(i), ownRefusals_.of(static_cast<RefusalReason>(i)));
+        refusals.add(static_cast<RefusalReason>(i), localRefusals_.of(static_cast<RefusalReason>(i)));
     }
     MetricsText text;
-    text.counters("anvilscale_refusals_total", "calls turned away by reason", "reason", refusals);
-    text.counters("anvilscale_retries_total", "further attempts by reason", "reason", stats.retries);
-    text.counters("anvilscale_verdicts_total", "errors told to callers by verdict", "verdict", stats.verdicts);
+    text.counters("anvilscale_refusals_total", "refused calls by reason", "reason", refusals);
+    text.counters("anvilscale_retries_total", "retries by reason", "reason", stats.retries);
+    text.counters("anvilscale_verdicts_total", "errors returned to callers by verdict", "verdict", stats.verdicts);
     text.counters("anvilscale_failures_total", "failed calls by reason", "reason", stats.failures);
-    text.counter("anvilscale_calls_total", "calls taken", stats.calls);
-    text.counter("anvilscale_calls_finished_total", "calls answered whole", stats.finished);
+    text.counter("anvilscale_calls_total", "calls received", stats.calls);
+    text.counter("anvilscale_calls_finished_total", "calls answered completely", stats.finished);
     text.counter("anvilscale_attempts_total", "attempts sent to sidecars", stats.attempts);
-    text.counter("anvilscale_frames_dropped_total", "frames that matched no open attempt", stats.droppedFrames);
-    text.counter("anvilscale_answers_broken_total", "answers whose end did not agree with their frames",
+    text.counter("anvilscale_frames_dropped_total", "frames without a matching open attempt", stats.droppedFrames);
+    text.counter("anvilscale_answers_broken_total", "responses whose end did not match their frames",
                  stats.brokenAnswers);
     text.gauge("anvilscale_calls_open", "calls in progress", stats.open);
     text.add(stallSeconds_);
@@ -104,18 +104,18 @@
     if (scheduler_) {
         const auto &scheduled = scheduler_->stats();
         text.counter("anvilscale_load_grants_total", "loads granted", scheduled.grants);
-        text.counter("anvilscale_load_grants_done_total", "granted loads that were done", scheduled.done);
+        text.counter("anvilscale_load_grants_done_total", "granted loads that were completed", scheduled.done);
         text.counter("anvilscale_load_grants_expired_total", "grants that expired", scheduled.expired);
         text.counter("anvilscale_load_store_refusals_total", "loads that the weight store refused",
                      scheduled.storeRefusals);
-        text.gauge("anvilscale_load_demands", "loads that are asked for", scheduled.demands);
+        text.gauge("anvilscale_load_demands", "loads demanded by sidecars", scheduled.demands);
     }
-    text.gauge("anvilscale_scheduler", "1 while this entry orders the loads", leaseHeld_ ? 1 : 0);
-    appendConfigMetrics(text, config_, *spread_, kvMux_->down());
+    text.gauge("anvilscale_scheduler", "1 while this entry is the load scheduler", isLeaseHeld_ ? 1 : 0);
+    appendConfigMetrics(text, config_, *configDistributor_, kvMux_->isDown());
     appendMessengerMetrics(text, messenger_->stats());
     appendHttpMetrics(text, http_->stats());
     appendKvMetrics(text, gateway_->stats());
-    text.counter("anvilscale_control_events_total", "events handled by the control thread", control_.events());
+    text.counter("anvilscale_control_events_total", "events handled by the control thread", control_.handledEvents());
     return text.text();
 }
 
--- a/src/daemon/kv_mux.cpp
+++ b/src/daemon/kv_mux.cpp
@@ -1,4 +1,4 @@
-// Numbers of key-value requests, and the log lines for an outage.
+// Multiplexing of key-value requests and outage events.
 #include "kv_mux.h"
 
 #include "anvilscale/telemetry.h"
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::uint64_t failuresOfOutage = 4; // in a row
+constexpr std::uint64_t outageFailures = 4; // consecutive failures that count as an outage
 
 } // namespace
 
@@ -16,17 +16,17 @@
 {
 }
 
-KvMux::Submit KvMux::part(Reply reply)
+KvMux::Submit KvMux::addClient(Reply reply)
 {
-    parts_.push_back(std::move(reply));
-    return [this, part = parts_.size() - 1](KvRequest request) { submit(part, std::move(request)); };
+    clients_.push_back(std::move(reply));
+    return [this, client = clients_.size() - 1](KvRequest request) { submit(client, std::move(request)); };
 }
 
-void KvMux::submit(std::size_t part, KvRequest request)
+void KvMux::submit(std::size_t client, KvRequest request)
 {
     if (request.op == KvOp::WatchCancel) {
         for (auto it = pending_.begin(); it != pending_.end(); ++it) {
-            if (it->second.part == part && it->second.own == request.id && it->second.watch) {
+            if (it->second.client == client && it->second.clientRequestId == request.id && it->second.isWatch) {
                 request.id = KvHandle{it->first};
                 pending_.erase(it);
                 submit_(std::move(request));
@@ -35,9 +35,9 @@
         }
         return;
     }
-    const auto number = ++last_;
-    pending_[number] = Pending{part, request.id, request.op == KvOp::Watch};
-    request.id = KvHandle{number};
+    const auto id = ++lastId_;
+    pending_[id] = Pending{client, request.id, request.op == KvOp::Watch};
+    request.id = KvHandle{id};
     submit_(std::move(request));
 }
 
@@ -45,43 +45,43 @@
 {
     const auto found = pending_.find(reply.id.value);
     if (found == pending_.end()) {
-        return; // of a watch that was cancelled
+        return; // reply of a cancelled watch
     }
     const auto pending = found->second;
-    const bool goesOn = pending.watch && reply.status == KvStatus::Ok;
-    if (!goesOn) {
+    const bool isOpenWatch = pending.isWatch && reply.status == KvStatus::Ok;
+    if (!isOpenWatch) {
         pending_.erase(found);
     }
-    if (!pending.watch) {
-        noteStatus(reply.status);
+    if (!pending.isWatch) {
+        recordStatus(reply.status);
     }
-    auto own = reply;
-    own.id = pending.own;
-    parts_[pending.part](own, now);
+    auto clientReply = reply;
+    clientReply.id = pending.clientRequestId;
+    clients_[pending.client](clientReply, now);
 }
 
-void KvMux::noteStatus(KvStatus status)
+void KvMux::recordStatus(KvStatus status)
 {
-    const bool failed = status == KvStatus::Unavailable || status == KvStatus::Unknown;
-    unavailable_ += failed ? 1 : 0;
-    inARow_ = failed ? inARow_ + 1 : 0;
-    // Single failures are also made by the call budget; they are no outage.
-    const bool down = inARow_ >= failuresOfOutage;
-    if (down == down_ || (failed && !down)) {
+    const bool isFailure = status == KvStatus::Unavailable || status == KvStatus::Unknown;
+    unavailableReplies_ += isFailure ? 1 : 0;
+    consecutiveFailures_ = isFailure ? consecutiveFailures_ + 1 : 0;
+    // A single failure may come from the call budget and is no outage.
+    const bool isOutage = consecutiveFailures_ >= outageFailures;
+    if (isOutage == isDown_ || (isFailure && !isOutage)) {
         return;
     }
-    down_ = down;
-    logEvent(down_ ? Event::KeyValueDown : Event::KeyValueBack, {{"status", std::string(toString(status))}});
+    isDown_ = isOutage;
+    logEvent(isDown_ ? Event::KeyValueDown : Event::KeyValueBack, {{"status", std::string(toString(status))}});
 }
 
-std::uint64_t KvMux::unavailable() const
+std::uint64_t KvMux::unavailableReplies() const
 {
-    return unavailable_;
+    return unavailableReplies_;
 }
 
-bool KvMux::down() const
+bool KvMux::isDown() const
 {
-    return down_;
+    return isDown_;
 }
 
 } // namespace anvilscale
--- a/src/daemon/kv_mux.h
+++ b/src/daemon/kv_mux.h
@@ -1,5 +1,4 @@
-// Lets several parts of a process share the key-value service. Each part numbers its own requests; here they get
-// numbers that are unique in the process, and each reply goes back to the part that asked, under its own number.
+// Multiplexes the key-value requests of several clients of a process.
 #pragma once
 
 #include "anvilscale/platform.h"
@@ -10,7 +9,8 @@
 
 namespace anvilscale {
 
-/// The control thread only.
+/// Each client numbers its own requests. Requests get ids that are unique in the process, and each reply returns to its
+/// client under the original id. Control thread only.
 class KvMux
 {
 public:
@@ -18,30 +18,31 @@
     using Reply = std::function<void(const KvReply &, Now)>;
 
     explicit KvMux(Submit submit);
-    /// A way to submit for one part, whose replies go to `reply`.
-    Submit part(Reply reply);
+    /// Returns a function that submits requests of a new client, whose replies go to `reply`.
+    Submit addClient(Reply reply);
     void onReply(const KvReply &reply, Now now);
-    /// Replies that said so since the start.
-    std::uint64_t unavailable() const;
-    bool down() const;
+    /// Number of replies since the start with status Unavailable or Unknown.
+    std::uint64_t unavailableReplies() const;
+    /// Several consecutive requests have failed.
+    bool isDown() const;
 
 private:
     struct Pending
     {
-        std::size_t part = 0;
-        KvHandle own; // as the part numbered it
-        bool watch = false;
+        std::size_t client = 0;
+        KvHandle clientRequestId; // id assigned by the client
+        bool isWatch = false;
     };
-    void submit(std::size_t part, KvRequest request);
-    void noteStatus(KvStatus status);
+    void submit(std::size_t client, KvRequest request);
+    void recordStatus(KvStatus status);
 
     Submit submit_;
-    std::vector<Reply> parts_;
-    std::map<std::uint64_t, Pending> pending_; // by our number; a watch stays until it ends
-    std::uint64_t last_ = 0;
-    std::uint64_t unavailable_ = 0;
-    std::uint64_t inARow_ = 0; // failures since the last success
-    bool down_ = false;
+    std::vector<Reply> clients_;
+    std::map<std::uint64_t, Pending> pending_; // by process-wide id; a watch stays until it ends
+    std::uint64_t lastId_ = 0;
+    std::uint64_t unavailableReplies_ = 0;
+    std::uint64_t consecutiveFailures_ = 0; // since the last success
+    bool isDown_ = false;
 };
 
 } // namespace anvilscale
--- a/src/daemon/process.cpp
+++ b/src/daemon/process.cpp
@@ -1,4 +1,4 @@
-// Helpers that both roles use.
+// Settings conversion, port files, error texts and metrics common to the roles.
 #include "process.h"
 
 #include "wire.pb.h"
@@ -11,17 +11,17 @@
 
 namespace anvilscale {
 
-Timing timingOf(const settings::Settings &settings)
+Timing readTiming(const settings::Settings &settings)
 {
-    const auto &from = settings.timing();
+    const auto &configured = settings.timing();
     Timing timing;
-    timing.heartbeat = Milliseconds(from.heartbeat_ms());
-    timing.suspect = Milliseconds(from.suspect_ms());
-    timing.lease = Milliseconds(from.lease_ms());
-    timing.leaseMargin = Milliseconds(from.lease_margin_ms());
-    timing.vmList = Milliseconds(from.vm_list_ms());
-    timing.configPoll = Milliseconds(from.config_poll_ms());
-    timing.leave = Milliseconds(from.leave_ms());
+    timing.heartbeat = Milliseconds(configured.heartbeat_ms());
+    timing.suspect = Milliseconds(configured.suspect_ms());
+    timing.lease = Milliseconds(configured.lease_ms());
+    timing.leaseMargin = Milliseconds(configured.lease_margin_ms());
+    timing.vmList = Milliseconds(configured.vm_list_ms());
+    timing.configPoll = Milliseconds(configured.config_poll_ms());
+    timing.leave = Milliseconds(configured.leave_ms());
     return timing;
 }
 
@@ -62,7 +62,8 @@
     return init;
 }
 
-tl::expected<void, StartError> writePortFile(const settings::Listen &listen, std::uint16_t port, std::string_view path)
+tl::expected<void, StartError> writePortFile(const settings::Listen &listen, std::uint16_t port,
+                                             std::string_view settingPath)
 {
     const auto &file = listen.port_file();
     if (file.empty()) {
@@ -74,22 +75,24 @@
         out << port << "\n";
         out.flush();
         if (!out) {
-            return tl::unexpected(StartError{StartErrorKind::PortFile, std::string(path), "cannot write " + temporary});
+            return tl::unexpected(StartError{StartErrorKind::PortFile, std::string(settingPath),
+                                             "cannot write the port file " + temporary});
         }
     }
     if (std::rename(temporary.c_str(), file.c_str()) != 0) {
-        return tl::unexpected(StartError{StartErrorKind::PortFile, std::string(path), "cannot write " + file});
+        return tl::unexpected(
+            StartError{StartErrorKind::PortFile, std::string(settingPath), "cannot write the port file " + file});
     }
     return {};
 }
 
-StartError startError(StartErrorKind kind, std::string_view path, const NetError &error)
+StartError makeStartError(StartErrorKind kind, std::string_view path, const NetError &error)
 {
     return StartError{kind, std::string(path),
                       std::string(toString(error.kind)) + ": " + error.address + ": " + error.detail};
 }
 
-std::string toText(const Poco::JSON::Object &object)
+std::string toJsonText(const Poco::JSON::Object &object)
 {
     std::ostringstream text;
     object.stringify(text);
@@ -128,11 +131,10 @@
 
 void appendHttpMetrics(MetricsText &text, const HttpServerStats &stats)
 {
-    text.counters("anvilscale_http_problems_total", "requests that could not be read, by problem", "problem",
-                  stats.problems);
+    text.counters("anvilscale_http_problems_total", "invalid requests by problem", "problem", stats.problems);
     text.counter("anvilscale_http_connections_total", "connections accepted", stats.connections);
-    text.counter("anvilscale_http_requests_total", "requests read", stats.requests);
-    text.counter("anvilscale_http_slow_readers_cut_total", "callers cut because they took nothing",
+    text.counter("anvilscale_http_requests_total", "requests received", stats.requests);
+    text.counter("anvilscale_http_slow_readers_cut_total", "callers disconnected because they stopped reading",
                  stats.slowReadersCut);
     text.gauge("anvilscale_http_connections_open", "open connections", stats.open);
 }
@@ -145,18 +147,18 @@
             byStatus.add(static_cast<KvStatus>(i), replies.of(static_cast<KvStatus>(i)));
         }
     }
-    text.counters("anvilscale_kv_calls_total", "calls made on the key-value service", "op", stats.calls);
-    text.counters("anvilscale_kv_replies_total", "answers of the key-value service", "status", byStatus);
-    text.counter("anvilscale_kv_over_budget_total", "requests turned away by the call budget", stats.overBudget);
+    text.counters("anvilscale_kv_calls_total", "calls to the key-value service by operation", "op", stats.calls);
+    text.counters("anvilscale_kv_replies_total", "replies of the key-value service by status", "status", byStatus);
+    text.counter("anvilscale_kv_over_budget_total", "requests refused by the call budget", stats.overBudget);
 }
 
-void appendConfigMetrics(MetricsText &text, const ConfigStore &config, const ConfigSpread &spread, bool kvDown)
+void appendConfigMetrics(MetricsText &text, const ConfigStore &config, const ConfigSpread &distributor, bool isKvDown)
 {
-    text.gauge("anvilscale_config_revision", "revision of the configuration in force",
+    text.gauge("anvilscale_config_revision", "revision of the active configuration",
                static_cast<double>(config.revision()));
-    text.gauge("anvilscale_config_stale", "1 if the configuration could not be confirmed for too long",
-               spread.stale() ? 1 : 0);
-    text.gauge("anvilscale_kv_down", "1 if the last request to the key-value service was not answered", kvDown ? 1 : 0);
+    text.gauge("anvilscale_config_stale", "1 if the configuration has not been confirmed within its maximum age",
+               distributor.stale() ? 1 : 0);
+    text.gauge("anvilscale_kv_down", "1 during an outage of the key-value service", isKvDown ? 1 : 0);
 }
 
 } // namespace anvilscale
--- a/src/daemon/process.h
+++ b/src/daemon/process.h
@@ -1,4 +1,4 @@
-// What both roles share: numbers and times from the settings, and small helpers at the start of a process.
+// Helpers shared by the roles: settings conversion, start errors, status texts and common metrics.
 #pragma once
 
 #include "anvilscale/daemon.h"
@@ -10,23 +10,27 @@
 
 namespace anvilscale {
 
-Timing timingOf(const settings::Settings &settings);
-/// Larger at every later start of a process of this name, as long as its clock does not go back.
+Timing readTiming(const settings::Settings &settings);
+/// Returns an incarnation in microseconds of wall time. Increases with each start of a process as long as the clock
+/// does not go back.
 std::uint64_t newIncarnation();
 EtcdGateway::Init gatewayInit(const settings::Settings &settings);
 HttpVmList::Init vmListInit(const settings::Settings &settings);
 MessengerInit messengerInit(const settings::Settings &settings, std::uint64_t incarnation);
-/// Writes the port under a temporary name and renames it, so that a reader never sees half a number.
-tl::expected<void, StartError> writePortFile(const settings::Listen &listen, std::uint16_t port, std::string_view path);
-StartError startError(StartErrorKind kind, std::string_view path, const NetError &error);
-std::string toText(const Poco::JSON::Object &object);
+/// Writes the port to the configured file, if there is one. The file is replaced atomically, so that readers never see
+/// a partial number. `settingPath`: used in errors.
+tl::expected<void, StartError> writePortFile(const settings::Listen &listen, std::uint16_t port,
+                                             std::string_view settingPath);
+StartError makeStartError(StartErrorKind kind, std::string_view path, const NetError &error);
+std::string toJsonText(const Poco::JSON::Object &object);
 std::string hexText(std::uint64_t number);
-/// A hello that tells this process's name and configuration.
+/// Returns a Hello with the name, incarnation and configuration of this process.
 wire::Envelope makeHello(std::string_view name, std::uint64_t incarnation, std::string_view dataCentre,
                          const ConfigStore &config);
 void appendMessengerMetrics(class MetricsText &text, const MessengerStats &stats);
 void appendHttpMetrics(class MetricsText &text, const HttpServerStats &stats);
 void appendKvMetrics(class MetricsText &text, const KvStats &stats);
-void appendConfigMetrics(class MetricsText &text, const ConfigStore &config, const ConfigSpread &spread, bool kvDown);
+void appendConfigMetrics(class MetricsText &text, const ConfigStore &config, const ConfigSpread &distributor,
+                         bool isKvDown);
 
 } // namespace anvilscale
--- a/src/daemon/removed_endpoints.h
+++ b/src/daemon/removed_endpoints.h
@@ -1,4 +1,4 @@
-// Endpoints whose records were removed before the store came back from an older copy, which may hold them still.
+// Endpoints removed before the store was restored from a backup that may still contain their records.
 #pragma once
 
 #include "anvilscale/direct.h"
@@ -9,95 +9,97 @@
 
 namespace anvilscale {
 
-/// A record in the copy is no sign of life: of an endpoint that has left without a word it lapses again some seconds
-/// later. It counts once the endpoint has written in the new era, or has kept it for longer than a dead one could.
+/// Prevents calls to endpoints that exited and reappear through a restored record: such a record expires again some
+/// seconds later. It is accepted once the endpoint has written it in the new era, or after withholdTime.
 class RemovedEndpoints
 {
 public:
     void add(const std::string &id, std::uint64_t era, TimePoint now)
     {
-        held_.erase(id);
-        std::erase_if(removed_, [this, now](const auto &item) {
-            return now - item.second.at >= memoryLife && held_.count(item.first) == 0;
+        withheld_.erase(id);
+        std::erase_if(removals_, [this, now](const auto &item) {
+            return now - item.second.removedAt >= removalRetention && withheld_.count(item.first) == 0;
         });
-        removed_[id] = {era, now};
+        removals_[id] = {era, now};
     }
-    /// True: the record is kept back, until takeDue gives it.
-    bool holds(const EndpointRecord &record, TimePoint now)
+    /// Withholds a record that may be outdated. Returns whether it is withheld, in which case takeDue() returns it
+    /// later.
+    bool withhold(const EndpointRecord &record, TimePoint now)
     {
-        const auto found = removed_.find(record.id);
-        if (found == removed_.end()) {
+        const auto found = removals_.find(record.id);
+        if (found == removals_.end()) {
             return false;
         }
-        const auto held = held_.find(record.id);
-        const bool known = held != held_.end() && held->second.record.era == record.era;
-        const bool written = known && record.revision > held->second.record.revision;
-        if (found->second.era >= record.era || written) {
-            forget(record.id);
+        const auto withheld = withheld_.find(record.id);
+        const bool isWithheld = withheld != withheld_.end() && withheld->second.record.era == record.era;
+        const bool isRewritten = isWithheld && record.revision > withheld->second.record.revision;
+        if (found->second.era >= record.era || isRewritten) {
+            discard(record.id);
             return false;
         }
-        if (!known) {
-            held_[record.id] = {record, now + lapseTime};
+        if (!isWithheld) {
+            withheld_[record.id] = {record, now + withholdTime};
         }
         return true;
     }
-    /// The store was read whole, and holds these.
-    void keepOnly(const std::set<std::string> &ids)
+    /// Discards withheld records of endpoints other than these, after a full read of the store.
+    void retainOnly(const std::set<std::string> &ids)
     {
-        std::erase_if(held_, [&ids](const auto &item) { return ids.count(item.first) == 0; });
+        std::erase_if(withheld_, [&ids](const auto &item) { return ids.count(item.first) == 0; });
     }
-    /// Its record has gone again.
-    void drop(const std::string &id)
+    /// Discards the withheld record of an endpoint that was removed again.
+    void dropWithheld(const std::string &id)
     {
-        held_.erase(id);
+        withheld_.erase(id);
     }
+    /// Returns the records that need not be withheld any longer, and discards their state.
     std::vector<EndpointRecord> takeDue(TimePoint now)
     {
         std::vector<EndpointRecord> due;
-        for (const auto &[id, held] : held_) {
-            if (held.due <= now) {
-                due.push_back(held.record);
+        for (const auto &[id, withheld] : withheld_) {
+            if (withheld.due <= now) {
+                due.push_back(withheld.record);
             }
         }
         for (const auto &record : due) {
-            forget(record.id);
+            discard(record.id);
         }
         return due;
     }
     std::optional<TimePoint> nextDue() const
     {
         std::optional<TimePoint> next;
-        for (const auto &[id, held] : held_) {
-            next = next ? std::min(*next, held.due) : held.due;
+        for (const auto &[id, withheld] : withheld_) {
+            next = next ? std::min(*next, withheld.due) : withheld.due;
         }
         return next;
     }
 
 private:
-    // Three heartbeats that endpoints write to the store, and some time beyond.
-    static constexpr Duration lapseTime = Seconds(4);
-    // A copy is some seconds old.
-    static constexpr Duration memoryLife = Seconds(60);
+    // Longer than three store heartbeats of an endpoint, after which its record has expired.
+    static constexpr Duration withholdTime = Seconds(4);
+    // Longer than the age of a backup.
+    static constexpr Duration removalRetention = Seconds(60);
 
     struct Removal
     {
-        std::uint64_t era = 0; // of the store, in which it was told
-        TimePoint at;
+        std::uint64_t era = 0; // era of the store at the removal
+        TimePoint removedAt;
     };
-    struct Held
+    struct Withheld
     {
         EndpointRecord record;
         TimePoint due;
     };
 
-    void forget(const std::string &id)
+    void discard(const std::string &id)
     {
-        held_.erase(id);
-        removed_.erase(id);
+        withheld_.erase(id);
+        removals_.erase(id);
     }
 
-    std::map<std::string, Removal> removed_;
-    std::map<std::string, Held> held_; // invariant: each stands in removed_ too
+    std::map<std::string, Removal> removals_;
+    std::map<std::string, Withheld> withheld_; // invariant: the keys are a subset of those of removals_
 };
 
 } // namespace anvilscale
--- a/src/daemon/run_daemon.cpp
+++ b/src/daemon/run_daemon.cpp
@@ -1,4 +1,4 @@
-// A daemon from its settings to its exit code: logs, signals, start errors.
+// runDaemon(): logging, signals and start errors.
 #include "anvilscale/daemon.h"
 #include "anvilscale/settings.h"
 #include "anvilscale/telemetry.h"
@@ -14,10 +14,10 @@
 
 namespace {
 
-// Sent by ourselves to end the signal thread; no handler and no other sender of it exists.
-constexpr int endSignal = SIGUSR2;
-// The settings file may change without a signal: it is looked at this often.
-constexpr timespec fileCheck{5, 0};
+// Stops the signal thread. Has no handler and is sent only by this process.
+constexpr int stopSignal = SIGUSR2;
+// Interval of checks for a changed settings file.
+constexpr timespec fileCheckInterval{5, 0};
 
 sigset_t handledSignals()
 {
@@ -26,64 +26,64 @@
     sigaddset(&set, SIGTERM);
     sigaddset(&set, SIGINT);
     sigaddset(&set, SIGHUP);
-    sigaddset(&set, endSignal);
+    sigaddset(&set, stopSignal);
     return set;
 }
 
-std::string textOf(const std::string &file)
+std::string readFile(const std::string &file)
 {
     std::ifstream in(file);
     return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
 }
 
-/// Reads the settings file again when it has changed.
+/// Reloads the settings file when it has changed.
 class SettingsFile
 {
 public:
     explicit SettingsFile(std::string file)
         : file_(std::move(file))
-        , text_(textOf(file_))
+        , lastText_(readFile(file_))
     {
     }
 
-    void check(Daemon &daemon, bool asked)
+    void reload(Daemon &daemon, bool isForced)
     {
-        auto text = textOf(file_);
-        if (text == text_ && !asked) {
+        auto text = readFile(file_);
+        if (text == lastText_ && !isForced) {
             return;
         }
-        text_ = std::move(text);
-        const auto settings = parseSettings(text_);
+        lastText_ = std::move(text);
+        const auto settings = parseSettings(lastText_);
         if (!settings) {
             const auto &error = settings.error();
             logEvent(Event::ReloadRejected,
                      {{"kind", std::string(toString(error.kind))}, {"path", error.path}, {"detail", error.detail}});
             return;
         }
-        logEvent(Event::SettingsReloaded, {{"signal", asked}});
+        logEvent(Event::SettingsReloaded, {{"signal", isForced}});
         setLogLevel(fromString<LogLevel>(settings->log().level()).value_or(LogLevel::Info));
         daemon.reload(*settings);
     }
 
 private:
     std::string file_;
-    std::string text_; // as it was read last
+    std::string lastText_; // content at the last read
 };
 
 void waitForSignals(Daemon &daemon, SettingsFile &file)
 {
     const auto set = handledSignals();
     while (true) {
-        const int signal = sigtimedwait(&set, nullptr, &fileCheck);
+        const int signal = sigtimedwait(&set, nullptr, &fileCheckInterval);
         switch (signal) {
-        case endSignal:
+        case stopSignal:
             return;
         case SIGTERM:
         case SIGINT:
-            daemon.drain(); // a second one changes nothing: calls in progress still end
+            daemon.drain(); // further signals have no effect; calls in progress still finish
             break;
-        default: // SIGHUP, or the time to look at the file
-            file.check(daemon, signal == SIGHUP);
+        default: // SIGHUP or the interval for checking the file
+            file.reload(daemon, signal == SIGHUP);
         }
     }
 }
@@ -101,8 +101,8 @@
 
 int runDaemon(const settings::Settings &settings, const std::string &settingsFile)
 {
-    // All threads inherit the mask, so that only the signal thread takes them. A closed connection is an error of
-    // its write, not the end of the process.
+    // All threads inherit the mask, so only the signal thread receives the signals. A write to a closed connection
+    // returns an error instead of terminating the process.
     const auto set = handledSignals();
     pthread_sigmask(SIG_BLOCK, &set, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
@@ -121,7 +121,7 @@
     std::thread signals([&] { waitForSignals(**daemon, file); });
     (*daemon)->start();
     (*daemon)->wait();
-    pthread_kill(signals.native_handle(), endSignal);
+    pthread_kill(signals.native_handle(), stopSignal);
     signals.join();
     logEvent(Event::ProcessStopped);
     shutdownLog();
