--- a/src/daemon/caller_api.cpp
+++ b/src/daemon/caller_api.cpp
@@ -90,7 +90,7 @@
 ApiRequest readModelRequest(HttpRequestData request, const CallerApiLimits &limits)
 {
     if (request.method != "POST") {
-        return errorWithStatus(methodNotAllowed, "model calls require the method POST");
+        return errorWithStatus(methodNotAllowed, "calls of models are made by POST");
     }
     const auto info = readModelCall(request.body, limits.jsonDepth);
     if (!info) {
@@ -98,7 +98,7 @@
     }
     CallerRequest call;
     if (!readCommonFields(request, limits, call)) {
-        return badRequestReply("X-Deadline-Ms is not a valid number of milliseconds");
+        return badRequestReply("X-Deadline-Ms is not a number of milliseconds");
     }
     call.route = info->model;
     call.stream = info->stream;
@@ -117,10 +117,10 @@
     CallerRequest call;
     call.service = std::string(remainder.substr(0, end));
     if (call.service.empty()) {
-        return errorWithStatus(notFound, "the path contains no service name");
+        return errorWithStatus(notFound, "the path names no service");
     }
     if (!readCommonFields(request, limits, call)) {
-        return badRequestReply("X-Deadline-Ms is not a valid number of milliseconds");
+        return badRequestReply("X-Deadline-Ms is not a number of milliseconds");
     }
     const auto path = remainder.substr(end);
     call.path = path.starts_with('/') ? std::string(path) : "/" + std::string(path);
@@ -148,8 +148,8 @@
             }
         }
     }
-    return isKnownPath ? errorWithStatus(methodNotAllowed, "method not allowed for this path")
-                       : errorWithStatus(notFound, "unknown path");
+    return isKnownPath ? errorWithStatus(methodNotAllowed, "this path takes another method")
+                       : errorWithStatus(notFound, "there is nothing at this path");
 }
 
 } // namespace anvilscale
--- a/src/daemon/direct_log.cpp
+++ b/src/daemon/direct_log.cpp
@@ -17,9 +17,9 @@
 } // namespace
 
 DirectLog::DirectLog()
-    : firstByte_("anvilscale_call_first_byte_seconds",
-                 "time from the arrival of a call to the first byte of its response", latencyBucketBounds)
-    , total_("anvilscale_call_seconds", "time from the arrival of a call to its end", latencyBucketBounds)
+    : firstByte_("anvilscale_call_first_byte_seconds", "time from a call's arrival to the first byte of its answer",
+                 latencyBucketBounds)
+    , total_("anvilscale_call_seconds", "time from a call's arrival to its end", latencyBucketBounds)
     , adapterWait_("anvilscale_call_adapter_wait_seconds", "time that a call waited for its adapter",
                    latencyBucketBounds)
 {
@@ -100,23 +100,23 @@
     text.add(firstByte_);
     text.add(total_);
     text.add(adapterWait_);
-    text.counter("anvilscale_log_lines_suppressed_total", "log lines of calls that were suppressed by the rate limit",
+    text.counter("anvilscale_log_lines_suppressed_total", "lines of calls that were not written, beyond the rate",
                  suppressedLines_);
 }
 
 void appendDirectMetrics(MetricsText &text, const DirectCallsStats &stats)
 {
-    text.counter("anvilscale_direct_calls_total", "calls received", stats.calls);
+    text.counter("anvilscale_direct_calls_total", "calls that arrived", stats.calls);
     text.counter("anvilscale_direct_sent_total", "attempts sent to endpoints", stats.sent);
     text.counter("anvilscale_direct_adapter_waits_total", "waits of calls for their adapter", stats.waitedForAdapter);
     text.gauge("anvilscale_direct_calls_open", "calls in progress", static_cast<double>(stats.open));
-    text.counters("anvilscale_direct_attempt_ends_total", "attempts by result", "end", stats.ends);
+    text.counters("anvilscale_direct_attempt_ends_total", "how attempts ended", "end", stats.ends);
     text.counters("anvilscale_direct_endpoint_refusals_total", "calls refused by endpoints", "refusal",
                   stats.endpointRefusals);
     text.counters("anvilscale_direct_refusals_total", "calls refused by this entry", "reason", stats.refusals);
-    text.counter("anvilscale_direct_quarantined_total", "requests quarantined because they crashed too many endpoints",
+    text.counter("anvilscale_direct_quarantined_total", "requests that go to no endpoint, as too many ended under them",
                  stats.quarantined);
-    text.counters("anvilscale_direct_retries_total", "retries by reason", "reason", stats.retries);
+    text.counters("anvilscale_direct_retries_total", "further attempts", "reason", stats.retries);
 }
 
 } // namespace anvilscale
--- a/src/daemon/entry_daemon.cpp
+++ b/src/daemon/entry_daemon.cpp
@@ -39,9 +39,8 @@
     , timing_(readTiming(settings))
     , control_([this](Now now) { afterBatch(now); })
     , random_(hash64(settings.name(), incarnation_))
-    , stallSeconds_("anvilscale_load_stall_seconds", "time that calls waited for their adapter to load",
-                    stallBucketBounds)
-    , stepFill_("anvilscale_step_fill_ratio", "fill ratio of engine steps as reported by engines", fillBounds)
+    , stallSeconds_("anvilscale_load_stall_seconds", "time that calls waited for their adapter", stallBucketBounds)
+    , stepFill_("anvilscale_step_fill_ratio", "how full engine steps were, as engines report it", fillBounds)
 {
 }
 
--- a/src/daemon/entry_status.cpp
+++ b/src/daemon/entry_status.cpp
@@ -88,15 +88,15 @@
         refusals.add(static_cast<RefusalReason>(i), localRefusals_.of(static_cast<RefusalReason>(i)));
     }
     MetricsText text;
-    text.counters("anvilscale_refusals_total", "refused calls by reason", "reason", refusals);
-    text.counters("anvilscale_retries_total", "retries by reason", "reason", stats.retries);
-    text.counters("anvilscale_verdicts_total", "errors returned to callers by verdict", "verdict", stats.verdicts);
+    text.counters("anvilscale_refusals_total", "calls turned away by reason", "reason", refusals);
+    text.counters("anvilscale_retries_total", "further attempts by reason", "reason", stats.retries);
+    text.counters("anvilscale_verdicts_total", "errors told to callers by verdict", "verdict", stats.verdicts);
     text.counters("anvilscale_failures_total", "failed calls by reason", "reason", stats.failures);
-    text.counter("anvilscale_calls_total", "calls received", stats.calls);
-    text.counter("anvilscale_calls_finished_total", "calls answered completely", stats.finished);
+    text.counter("anvilscale_calls_total", "calls taken", stats.calls);
+    text.counter("anvilscale_calls_finished_total", "calls answered whole", stats.finished);
     text.counter("anvilscale_attempts_total", "attempts sent to sidecars", stats.attempts);
-    text.counter("anvilscale_frames_dropped_total", "frames without a matching open attempt", stats.droppedFrames);
-    text.counter("anvilscale_answers_broken_total", "responses whose end did not match their frames",
+    text.counter("anvilscale_frames_dropped_total", "frames that matched no open attempt", stats.droppedFrames);
+    text.counter("anvilscale_answers_broken_total", "answers whose end did not agree with their frames",
                  stats.brokenAnswers);
     text.gauge("anvilscale_calls_open", "calls in progress", stats.open);
     text.add(stallSeconds_);
@@ -104,13 +104,13 @@
     if (scheduler_) {
         const auto &scheduled = scheduler_->stats();
         text.counter("anvilscale_load_grants_total", "loads granted", scheduled.grants);
-        text.counter("anvilscale_load_grants_done_total", "granted loads that were completed", scheduled.done);
+        text.counter("anvilscale_load_grants_done_total", "granted loads that were done", scheduled.done);
         text.counter("anvilscale_load_grants_expired_total", "grants that expired", scheduled.expired);
         text.counter("anvilscale_load_store_refusals_total", "loads that the weight store refused",
                      scheduled.storeRefusals);
-        text.gauge("anvilscale_load_demands", "loads demanded by sidecars", scheduled.demands);
+        text.gauge("anvilscale_load_demands", "loads that are asked for", scheduled.demands);
     }
-    text.gauge("anvilscale_scheduler", "1 while this entry is the load scheduler", isLeaseHeld_ ? 1 : 0);
+    text.gauge("anvilscale_scheduler", "1 while this entry orders the loads", isLeaseHeld_ ? 1 : 0);
     appendConfigMetrics(text, config_, *configDistributor_, kvMux_->isDown());
     appendMessengerMetrics(text, messenger_->stats());
     appendHttpMetrics(text, http_->stats());
--- a/src/daemon/process.cpp
+++ b/src/daemon/process.cpp
@@ -131,10 +131,11 @@
 
 void appendHttpMetrics(MetricsText &text, const HttpServerStats &stats)
 {
-    text.counters("anvilscale_http_problems_total", "invalid requests by problem", "problem", stats.problems);
+    text.counters("anvilscale_http_problems_total", "requests that could not be read, by problem", "problem",
+                  stats.problems);
     text.counter("anvilscale_http_connections_total", "connections accepted", stats.connections);
-    text.counter("anvilscale_http_requests_total", "requests received", stats.requests);
-    text.counter("anvilscale_http_slow_readers_cut_total", "callers disconnected because they stopped reading",
+    text.counter("anvilscale_http_requests_total", "requests read", stats.requests);
+    text.counter("anvilscale_http_slow_readers_cut_total", "callers cut because they took nothing",
                  stats.slowReadersCut);
     text.gauge("anvilscale_http_connections_open", "open connections", stats.open);
 }
@@ -147,18 +148,19 @@
             byStatus.add(static_cast<KvStatus>(i), replies.of(static_cast<KvStatus>(i)));
         }
     }
-    text.counters("anvilscale_kv_calls_total", "calls to the key-value service by operation", "op", stats.calls);
-    text.counters("anvilscale_kv_replies_total", "replies of the key-value service by status", "status", byStatus);
-    text.counter("anvilscale_kv_over_budget_total", "requests refused by the call budget", stats.overBudget);
+    text.counters("anvilscale_kv_calls_total", "calls made on the key-value service", "op", stats.calls);
+    text.counters("anvilscale_kv_replies_total", "answers of the key-value service", "status", byStatus);
+    text.counter("anvilscale_kv_over_budget_total", "requests turned away by the call budget", stats.overBudget);
 }
 
 void appendConfigMetrics(MetricsText &text, const ConfigStore &config, const ConfigSpread &distributor, bool isKvDown)
 {
-    text.gauge("anvilscale_config_revision", "revision of the active configuration",
+    text.gauge("anvilscale_config_revision", "revision of the configuration in force",
                static_cast<double>(config.revision()));
-    text.gauge("anvilscale_config_stale", "1 if the configuration has not been confirmed within its maximum age",
+    text.gauge("anvilscale_config_stale", "1 if the configuration could not be confirmed for too long",
                distributor.stale() ? 1 : 0);
-    text.gauge("anvilscale_kv_down", "1 during an outage of the key-value service", isKvDown ? 1 : 0);
+    text.gauge("anvilscale_kv_down", "1 if the last request to the key-value service was not answered",
+               isKvDown ? 1 : 0);
 }
 
 } // namespace anvilscale
--- a/src/daemon/sidecar_daemon.cpp
+++ b/src/daemon/sidecar_daemon.cpp
@@ -50,7 +50,7 @@
     , timing_(readTiming(settings))
     , control_([this](Now now) { afterBatch(now); })
     , random_(hash64(settings.name(), incarnation_))
-    , stepFill_("anvilscale_step_fill_ratio", "fill ratio of engine steps as reported by the engine", fillBounds)
+    , stepFill_("anvilscale_step_fill_ratio", "how full engine steps were, as the engine reports it", fillBounds)
 {
 }
 
--- a/src/daemon/sidecar_status.cpp
+++ b/src/daemon/sidecar_status.cpp
@@ -10,7 +10,7 @@
 void SidecarDaemon::onHttpRequest(HttpExchange exchange, const HttpRequestData &request)
 {
     if (request.method != "GET") {
-        http_->reply(exchange, jsonReply(405, R"({"error":"method not allowed"})"));
+        http_->reply(exchange, jsonReply(405, R"({"error":"only GET"})"));
         return;
     }
     const auto path = request.target.substr(0, request.target.find('?'));
@@ -19,7 +19,7 @@
         return;
     }
     if (path != "/readyz" && path != "/metrics") {
-        http_->reply(exchange, jsonReply(404, R"({"error":"unknown path"})"));
+        http_->reply(exchange, jsonReply(404, R"({"error":"there is nothing at this path"})"));
         return;
     }
     control_.post([this, exchange, path](Now) {
@@ -91,31 +91,31 @@
 {
     const auto &stats = decisions_->stats();
     MetricsText text;
-    text.counters("anvilscale_refusals_total", "refused calls by reason", "reason", stats.refusals);
+    text.counters("anvilscale_refusals_total", "calls turned away by reason", "reason", stats.refusals);
     text.counters("anvilscale_orders_total", "orders to the endpoint by outcome", "outcome", stats.orders);
     text.counter("anvilscale_executions_total", "calls started at the endpoint", stats.executions);
-    text.counter("anvilscale_attached_total", "repeated calls attached to a running execution", stats.attached);
-    text.counter("anvilscale_replayed_total", "repeated calls answered with a stored response", stats.replayed);
+    text.counter("anvilscale_attached_total", "repeats that joined a running call", stats.attached);
+    text.counter("anvilscale_replayed_total", "repeats that were given a kept answer", stats.replayed);
     text.counter("anvilscale_loads_total", "adapter loads", stats.loads);
-    text.counter("anvilscale_reloads_total", "loads of a version that was evicted before", stats.reloads);
+    text.counter("anvilscale_reloads_total", "loads of a version that had been evicted", stats.reloads);
     text.counter("anvilscale_evictions_total", "adapters unloaded", stats.evictions);
-    text.counter("anvilscale_stalled_calls_total", "calls that waited for their adapter to load", stats.stalledCalls);
-    text.gauge("anvilscale_stall_seconds_total", "time that calls waited for their adapter to load",
+    text.counter("anvilscale_stalled_calls_total", "calls that waited for their adapter", stats.stalledCalls);
+    text.gauge("anvilscale_stall_seconds_total", "time that calls waited for their adapter",
                static_cast<double>(stats.stallTotal.count()) / 1e6);
     text.gauge("anvilscale_running", "calls at the endpoint", stats.running);
-    text.gauge("anvilscale_queued", "queued calls", stats.queued);
-    text.gauge("anvilscale_resident", "resident adapters", stats.resident);
-    text.counter("anvilscale_decisions_dropped_total", "messages dropped by the control thread", stats.droppedMessages);
+    text.gauge("anvilscale_queued", "calls that wait", stats.queued);
+    text.gauge("anvilscale_resident", "adapters resident", stats.resident);
+    text.counter("anvilscale_decisions_dropped_total", "messages that the decisions dropped", stats.droppedMessages);
     text.add(stepFill_);
     const auto endpoint = endpoint_->stats();
     text.counter("anvilscale_endpoint_requests_total", "requests to the endpoint", endpoint.requests);
     text.counter("anvilscale_endpoint_connections_total", "connections to the endpoint", endpoint.connections);
-    text.counter("anvilscale_endpoint_connect_failures_total", "failed connection attempts to the endpoint",
+    text.counter("anvilscale_endpoint_connect_failures_total", "connections that were refused",
                  endpoint.connectFailures);
-    text.counter("anvilscale_endpoint_broken_total", "truncated responses of the endpoint", endpoint.broken);
+    text.counter("anvilscale_endpoint_broken_total", "answers of the endpoint that broke off", endpoint.broken);
     text.counter("anvilscale_endpoint_cancels_total", "calls cancelled at the endpoint", endpoint.cancels);
-    text.counter("anvilscale_endpoint_cancels_unconfirmed_total",
-                 "cancels that the endpoint did not confirm immediately", endpoint.unconfirmedCancels);
+    text.counter("anvilscale_endpoint_cancels_unconfirmed_total", "cancels that the endpoint did not confirm at once",
+                 endpoint.unconfirmedCancels);
     text.counter("anvilscale_endpoint_report_failures_total", "reports that could not be read",
                  endpoint.reportFailures);
     appendConfigMetrics(text, config_, *configDistributor_, kvMux_->isDown());
--- a/src/daemon/store_log.cpp
+++ b/src/daemon/store_log.cpp
@@ -10,8 +10,7 @@
 } // namespace
 
 StoreLog::StoreLog()
-    : answerInterval_("anvilscale_store_unheard_seconds", "time between two responses of the store",
-                      intervalBucketBounds)
+    : answerInterval_("anvilscale_store_unheard_seconds", "time between two answers of the store", intervalBucketBounds)
 {
 }
 
@@ -65,11 +64,11 @@
     text.add(answerInterval_);
     text.counter("anvilscale_store_answers_total", "answered calls to the store", answers_);
     text.counters("anvilscale_store_failures_total", "failed calls to the store", "failure", failures_);
-    text.counter("anvilscale_store_restores_total", "restores of the store from a backup", restores_);
-    text.counter("anvilscale_crash_reports_total", "crash reports written to the store", writtenReports_);
-    text.counter("anvilscale_crash_reports_dropped_total", "crash reports dropped while the store was unavailable",
+    text.counter("anvilscale_store_restores_total", "times that the store came back from an older copy", restores_);
+    text.counter("anvilscale_crash_reports_total", "crash reports that the store has taken", writtenReports_);
+    text.counter("anvilscale_crash_reports_dropped_total", "crash reports given up while the store was away",
                  droppedReports_);
-    text.counters("anvilscale_crash_report_failures_total", "failed writes of crash reports", "failure",
+    text.counters("anvilscale_crash_report_failures_total", "failed calls that write crash reports", "failure",
                   reportFailures_);
 }
 
