--- a/src/daemon/caller_reply.cpp
+++ b/src/daemon/caller_reply.cpp
@@ -1,4 +1,4 @@
-// Status codes, texts and JSON of errors towards callers.
+// HTTP status codes, messages and JSON bodies of errors returned to callers.
 #include "caller_reply.h"
 
 #include <Poco/JSON/Object.h>
@@ -15,7 +15,7 @@
     std::string_view message;
 };
 
-constexpr std::array<RefusalInfo, enumCount<RefusalReason>> refusalTable{{
+constexpr std::array<RefusalInfo, enumCount<RefusalReason>> refusalReplies{{
     {500, "the call was turned down"},
     {400, "the request is not valid"},
     {404, "no route of this name is configured"},
@@ -52,7 +52,7 @@
     std::string_view message;
 };
 
-constexpr std::array<FailureInfo, enumCount<FailureReason>> failureTable{{
+constexpr std::array<FailureInfo, enumCount<FailureReason>> failureReplies{{
     {500, "the call failed"},
     {502, "the endpoint reported an error"},
     {502, "the endpoint cannot be reached"},
@@ -65,7 +65,7 @@
     {502, "the answer did not arrive whole"},
 }};
 
-constexpr std::array<std::string_view, enumCount<HttpProblem>> problemTable{
+constexpr std::array<std::string_view, enumCount<HttpProblem>> httpErrorMessages{
     "",
     "the head of the request is not valid",
     "the head of the request is too large",
@@ -78,7 +78,7 @@
     "too many connections",
 };
 
-constexpr std::array<std::string_view, enumCount<BodyProblem>> bodyProblemTable{
+constexpr std::array<std::string_view, enumCount<BodyProblem>> bodyErrorMessages{
     "",
     "the body is not JSON",
     "the body is not UTF-8",
@@ -112,13 +112,13 @@
 
 HttpReply errorReply(const CallError &error, std::string_view message)
 {
-    const bool refused = error.refusal != RefusalReason::None;
-    const auto &refusal = refusalTable[static_cast<std::size_t>(error.refusal)];
-    const auto &failure = failureTable[static_cast<std::size_t>(error.failure)];
-    const auto type = refused ? toString(error.refusal) : toString(error.failure);
-    const auto text = !message.empty() ? message : refused ? refusal.message : failure.message;
+    const bool isRefused = error.refusal != RefusalReason::None;
+    const auto &refusal = refusalReplies[static_cast<std::size_t>(error.refusal)];
+    const auto &failure = failureReplies[static_cast<std::size_t>(error.failure)];
+    const auto type = isRefused ? toString(error.refusal) : toString(error.failure);
+    const auto text = !message.empty() ? message : isRefused ? refusal.message : failure.message;
     auto reply =
-        jsonReply(refused ? refusal.status : failure.status, errorBody(type, error.verdict, text, error.attempts));
+        jsonReply(isRefused ? refusal.status : failure.status, errorBody(type, error.verdict, text, error.attempts));
     if (error.retryAfter > Duration(0)) {
         const auto seconds = std::chrono::ceil<Seconds>(error.retryAfter).count();
         reply.headers.emplace_back("Retry-After", std::to_string(seconds));
@@ -134,21 +134,21 @@
     return errorReply(error, message);
 }
 
-HttpReply problemReply(HttpProblem problem)
+HttpReply httpErrorReply(HttpProblem httpError)
 {
-    const bool limit = problem == HttpProblem::ConnectionLimit;
+    const bool isConnectionLimit = httpError == HttpProblem::ConnectionLimit;
     CallError error;
     error.verdict = Verdict::NotRun;
-    error.refusal = limit ? RefusalReason::ConnectionLimit : RefusalReason::BadRequest;
-    error.retryAfter = limit ? Duration(Seconds(1)) : Duration(0);
-    auto reply = errorReply(error, problemTable[static_cast<std::size_t>(problem)]);
-    reply.status = statusOf(problem);
+    error.refusal = isConnectionLimit ? RefusalReason::ConnectionLimit : RefusalReason::BadRequest;
+    error.retryAfter = isConnectionLimit ? Duration(Seconds(1)) : Duration(0);
+    auto reply = errorReply(error, httpErrorMessages[static_cast<std::size_t>(httpError)]);
+    reply.status = statusOf(httpError);
     return reply;
 }
 
-HttpReply bodyProblemReply(BodyProblem problem)
+HttpReply bodyErrorReply(BodyProblem bodyError)
 {
-    return refusalReply(RefusalReason::BadRequest, bodyProblemTable[static_cast<std::size_t>(problem)]);
+    return refusalReply(RefusalReason::BadRequest, bodyErrorMessages[static_cast<std::size_t>(bodyError)]);
 }
 
 } // namespace anvilscale
--- a/src/daemon/direct_log.cpp
+++ b/src/daemon/direct_log.cpp
@@ -1,14 +1,13 @@
-// Lines and metrics of the direct path's calls.
+// Log lines and metrics of direct-path calls.
 #include "direct_log.h"
 
 namespace anvilscale {
 
 namespace {
 
-// Lines of ended calls a second. An entry of today's deployments ends some twenty calls a second; the rest of an
-// overload is counted, so that writing logs never takes the processor from calls.
-constexpr std::uint32_t linesPerSecond = 100;
-const std::vector<double> latencyBounds{0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 0.8, 1, 1.5, 2, 3, 5, 10, 15};
+// Bounds the CPU time spent on logging under overload. Further lines are only counted.
+constexpr std::uint32_t maxLinesPerSecond = 100;
+const std::vector<double> latencyBucketBounds{0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 0.8, 1, 1.5, 2, 3, 5, 10, 15};
 
 double seconds(Duration span)
 {
@@ -19,29 +18,30 @@
 
 DirectLog::DirectLog()
     : firstByte_("anvilscale_call_first_byte_seconds", "time from a call's arrival to the first byte of its answer",
-                 latencyBounds)
-    , total_("anvilscale_call_seconds", "time from a call's arrival to its end", latencyBounds)
-    , adapterWait_("anvilscale_call_adapter_wait_seconds", "time that a call waited for its adapter", latencyBounds)
+                 latencyBucketBounds)
+    , total_("anvilscale_call_seconds", "time from a call's arrival to its end", latencyBucketBounds)
+    , adapterWait_("anvilscale_call_adapter_wait_seconds", "time that a call waited for its adapter",
+                   latencyBucketBounds)
 {
 }
 
-bool DirectLog::mayWrite(TimePoint now)
+bool DirectLog::reserveLine(TimePoint now)
 {
     if (now - windowStart_ >= Seconds(1)) {
         windowStart_ = now;
-        lines_ = 0;
+        linesInWindow_ = 0;
     }
-    if (lines_ >= linesPerSecond) {
-        ++suppressed_;
+    if (linesInWindow_ >= maxLinesPerSecond) {
+        ++suppressedLines_;
         return false;
     }
-    ++lines_;
+    ++linesInWindow_;
     return true;
 }
 
 void DirectLog::attemptFailed(const FailedAttempt &attempt, TimePoint now)
 {
-    if (!mayWrite(now)) {
+    if (!reserveLine(now)) {
         return;
     }
     logEvent(Event::AttemptFailed, {{"request", attempt.requestId},
@@ -69,11 +69,11 @@
     if (call.adapterWait != Duration(0)) {
         adapterWait_.record(seconds(call.adapterWait));
     }
-    if (!mayWrite(now)) {
+    if (!reserveLine(now)) {
         return;
     }
-    const bool well = call.outcome == EndedOutcome::Answered;
-    logEvent(well ? Event::CallEnded : Event::CallEndedBadly,
+    const bool isAnswered = call.outcome == EndedOutcome::Answered;
+    logEvent(isAnswered ? Event::CallEnded : Event::CallEndedBadly,
              {{"request", call.requestId},
               {"outcome", std::string(toString(call.outcome))},
               {"reason", call.reason},
@@ -101,7 +101,7 @@
     text.add(total_);
     text.add(adapterWait_);
     text.counter("anvilscale_log_lines_suppressed_total", "lines of calls that were not written, beyond the rate",
-                 suppressed_);
+                 suppressedLines_);
 }
 
 void appendDirectMetrics(MetricsText &text, const DirectCallsStats &stats)
--- a/src/daemon/entry_status.cpp
+++ b/src/daemon/entry_status.cpp
@@ -1,4 +1,4 @@
-// What an entry tells of itself: metrics, and the answers to the operators' tool.
+// EntryDaemon: metrics and replies to the operator tool.
 #include "entry_daemon.h"
 #include "wire.pb.h"
 
@@ -29,13 +29,13 @@
     root.set("incarnation", hexText(incarnation_));
     root.set("dataCentre", settings_.data_centre());
     root.set("region", settings_.region());
-    root.set("ready", ready_.load());
-    root.set("draining", draining_.load());
+    root.set("ready", isReady_.load());
+    root.set("draining", isDraining_.load());
     root.set("revision", config_.revision());
     root.set("digest", hexText(config_.digest()));
-    root.set("stale", spread_->stale());
-    root.set("watching", spread_->watching());
-    root.set("keyValueDown", kvMux_->down());
+    root.set("stale", configDistributor_->stale());
+    root.set("watching", configDistributor_->watching());
+    root.set("keyValueDown", kvMux_->isDown());
     root.set("lease", std::string(toString(lease_ ? lease_->state() : LeaseState::None)));
     root.set("fence", lease_ ? lease_->fence() : 0);
     root.set("openCalls", stats.open);
@@ -54,7 +54,7 @@
         members.add(entry);
     }
     root.set("members", members);
-    return toText(root);
+    return toJsonText(root);
 }
 
 std::string EntryDaemon::explainJson(const std::string &route, Now now) const
@@ -77,7 +77,7 @@
     root.set("loading", list(explanation.loading));
     root.set("choice", explanation.choice);
     root.set("refusal", std::string(toString(explanation.refusal)));
-    return toText(root);
+    return toJsonText(root);
 }
 
 std::string EntryDaemon::metrics() const
@@ -85,7 +85,7 @@
     const auto &stats = decisions_->stats();
     auto refusals = stats.refusals;
     for (std::size_t i = 0; i < enumCount<RefusalReason>; ++i) {
-        refusals.add(static_cast<RefusalReason>(i), ownRefusals_.of(static_cast<RefusalReason>(i)));
+        refusals.add(static_cast<RefusalReason>(i), localRefusals_.of(static_cast<RefusalReason>(i)));
     }
     MetricsText text;
     text.counters("anvilscale_refusals_total", "calls turned away by reason", "reason", refusals);
@@ -110,12 +110,12 @@
                      scheduled.storeRefusals);
         text.gauge("anvilscale_load_demands", "loads that are asked for", scheduled.demands);
     }
-    text.gauge("anvilscale_scheduler", "1 while this entry orders the loads", leaseHeld_ ? 1 : 0);
-    appendConfigMetrics(text, config_, *spread_, kvMux_->down());
+    text.gauge("anvilscale_scheduler", "1 while this entry orders the loads", isLeaseHeld_ ? 1 : 0);
+    appendConfigMetrics(text, config_, *configDistributor_, kvMux_->isDown());
     appendMessengerMetrics(text, messenger_->stats());
     appendHttpMetrics(text, http_->stats());
     appendKvMetrics(text, gateway_->stats());
-    text.counter("anvilscale_control_events_total", "events handled by the control thread", control_.events());
+    text.counter("anvilscale_control_events_total", "events handled by the control thread", control_.handledEvents());
     return text.text();
 }
 
--- a/src/daemon/sidecar_status.cpp
+++ b/src/daemon/sidecar_status.cpp
@@ -1,4 +1,4 @@
-// What a sidecar tells of itself: health, metrics, and the answers to the operators' tool.
+// SidecarDaemon: health, metrics and replies to the operator tool.
 #include "caller_reply.h"
 #include "sidecar_daemon.h"
 #include "wire.pb.h"
@@ -7,7 +7,7 @@
 
 namespace anvilscale {
 
-void SidecarDaemon::onHttp(HttpExchange exchange, const HttpRequestData &request)
+void SidecarDaemon::onHttpRequest(HttpExchange exchange, const HttpRequestData &request)
 {
     if (request.method != "GET") {
         http_->reply(exchange, jsonReply(405, R"({"error":"only GET"})"));
@@ -27,7 +27,7 @@
             http_->reply(exchange, HttpReply{200, {{"Content-Type", "text/plain; version=0.0.4"}}, metrics(), false});
             return;
         }
-        const bool ready = !draining_ && !endpointDown_ && !spread_->empty();
+        const bool ready = !isDraining_ && !isEndpointDown_ && !configDistributor_->empty();
         http_->reply(exchange, jsonReply(ready ? 200 : 503, ready ? R"({"ready":true})" : R"({"ready":false})"));
     });
 }
@@ -51,13 +51,13 @@
     root.set("incarnation", hexText(incarnation_));
     root.set("dataCentre", settings_.data_centre());
     root.set("region", settings_.region());
-    root.set("draining", draining_.load());
+    root.set("draining", isDraining_.load());
     root.set("revision", config_.revision());
     root.set("digest", hexText(config_.digest()));
-    root.set("stale", spread_->stale());
-    root.set("keyValueDown", kvMux_->down());
+    root.set("stale", configDistributor_->stale());
+    root.set("keyValueDown", kvMux_->isDown());
     root.set("endpointKind", settings_.sidecar().endpoint_kind());
-    root.set("endpointDown", endpointDown_);
+    root.set("endpointDown", isEndpointDown_);
     root.set("endpointIncarnation", endpointIncarnation_);
     root.set("running", stats.running);
     root.set("queued", stats.queued);
@@ -66,7 +66,7 @@
     root.set("loads", stats.loads);
     root.set("evictions", stats.evictions);
     root.set("stalledCalls", stats.stalledCalls);
-    return toText(root);
+    return toJsonText(root);
 }
 
 std::string SidecarDaemon::adaptersJson() const
@@ -84,7 +84,7 @@
     Poco::JSON::Object root(Poco::JSON_PRESERVE_KEY_ORDER);
     root.set("name", settings_.name());
     root.set("adapters", adapters);
-    return toText(root);
+    return toJsonText(root);
 }
 
 std::string SidecarDaemon::metrics() const
@@ -118,11 +118,11 @@
                  endpoint.unconfirmedCancels);
     text.counter("anvilscale_endpoint_report_failures_total", "reports that could not be read",
                  endpoint.reportFailures);
-    appendConfigMetrics(text, config_, *spread_, kvMux_->down());
+    appendConfigMetrics(text, config_, *configDistributor_, kvMux_->isDown());
     appendMessengerMetrics(text, messenger_->stats());
     appendHttpMetrics(text, http_->stats());
     appendKvMetrics(text, gateway_->stats());
-    text.counter("anvilscale_control_events_total", "events handled by the control thread", control_.events());
+    text.counter("anvilscale_control_events_total", "events handled by the control thread", control_.handledEvents());
     return text.text();
 }
 
