--- a/include/anvilscale/base.h
+++ b/include/anvilscale/base.h
@@ -1,6 +1,5 @@
-// Base library: time, timers, random numbers, hashes, typed handles and the enumerations that every part shares.
-// Nothing here does I/O. Decisions get time and random numbers from outside, so that a test can drive thousands
-// of them under a virtual clock.
+// Base library: time, timers, random numbers, hashes, typed handles and shared enumerations. Does no I/O; callers pass
+// in time and random numbers, so tests can run under a virtual clock.
 #pragma once
 
 #include <tl/expected.hpp>
@@ -23,7 +22,7 @@
 using Milliseconds = std::chrono::milliseconds;
 using Seconds = std::chrono::seconds;
 
-/// Monotonic time of one process. Never compared between processes.
+/// Monotonic clock of one process. Its values are never compared between processes.
 struct MonotonicClock
 {
     using duration = Duration;
@@ -34,21 +33,21 @@
 };
 using TimePoint = MonotonicClock::time_point;
 
-/// Wall clock in milliseconds since 1970 (UTC). Compared between processes only within the operators' skew limit.
+/// Wall clock in milliseconds since 1970 (UTC). Processes compare it only within the operators' limit on clock skew.
 struct WallTime
 {
     std::int64_t ms = 0;
     auto operator<=>(const WallTime &) const = default; // NOLINT(modernize-use-nullptr): not a pointer
 };
 
-/// Both clocks, read once for each event. Source: the daemon's loop, or a test's virtual clock.
+/// Both clocks, read once per event from the event loop or from a test's virtual clock.
 struct Now
 {
     TimePoint mono;
     WallTime wall;
 };
 
-/// A typed number. Two kinds of handle never mix. Zero is "none".
+/// Typed 64-bit handle; handles of different tags do not convert to each other. Zero means "none".
 template<class Tag>
 struct Handle
 {
@@ -62,19 +61,19 @@
 };
 
 using TimerHandle = Handle<struct TimerTag>;
-/// A call as the entry knows it.
+/// Identifies a call within its entry.
 using CallHandle = Handle<struct CallTag>;
-/// One execution at an endpoint as its sidecar knows it.
+/// Identifies an execution at an endpoint within its sidecar.
 using ExecutionHandle = Handle<struct ExecutionTag>;
-/// One order to an engine (load, unload, list).
+/// Identifies an order to an engine (load, unload, list).
 using OrderHandle = Handle<struct OrderTag>;
-/// A conversation partner, as numbered by the transport of this process.
+/// Identifies a peer connection within this process. Assigned by the transport.
 using PeerHandle = Handle<struct PeerTag>;
-/// A request to the key-value service.
+/// Identifies a request to the key-value service.
 using KvHandle = Handle<struct KvTag>;
 
-/// Timers for every part of a process. The owner calls advance(); subscribers are called in order of time, then of
-/// subscription. No thread inside.
+/// Timer queue driven by its owner through advance(). Callbacks run in order of time, then of subscription. Starts no
+/// thread.
 class TimerService
 {
 public:
@@ -82,11 +81,11 @@
 
     /// Calls `callback` once, at the first advance() at or after `at`.
     TimerHandle subscribe(TimePoint at, Callback callback);
-    /// Forgets a subscription. A handle that has fired or was cancelled is ignored.
+    /// Cancels a subscription. Handles that have fired or were cancelled are ignored.
     void cancel(TimerHandle handle);
-    /// Time of the next subscription, if any.
+    /// Returns the time of the next pending callback, or nullopt if there is none.
     std::optional<TimePoint> next() const;
-    /// Fires all that is due, including what callbacks subscribe for a time up to `now`. Returns how many.
+    /// Runs all callbacks due at `now`, including those subscribed by callbacks meanwhile. Returns how many ran.
     std::size_t advance(TimePoint now);
 
 private:
@@ -106,34 +105,35 @@
     void dropCancelled() const;
 
     mutable std::priority_queue<Entry, std::vector<Entry>, Later> queue_;
-    // Ids in queue_ that must not fire. Invariant: a subset of the ids in queue_.
+    // Ids of cancelled entries still in queue_. Invariant: a subset of the ids in queue_.
     mutable std::unordered_set<std::uint64_t> cancelled_;
-    std::unordered_set<std::uint64_t> pending_; // ids in queue_ that may still fire
+    std::unordered_set<std::uint64_t> pending_; // ids in queue_ that were not cancelled
     std::uint64_t lastId_ = 0;
 };
 
-/// Seeded generator (xoshiro256**). The same seed gives the same numbers on every machine.
+/// Seeded pseudo-random generator (xoshiro256**). A seed gives the same sequence on every platform.
 class Random
 {
 public:
     explicit Random(std::uint64_t seed);
     std::uint64_t next();
-    /// Uniform in [0, bound); 0 for bound 0.
+    /// Uniform in [0, bound); returns 0 if `bound` is 0.
     std::uint64_t below(std::uint64_t bound);
     /// Uniform in [0, 1).
     double unit();
     /// Exponential with the given mean.
     double exponential(double mean);
-    /// A duration in [span/2, span), for timers that must not fall into step.
+    /// Uniform in [span/2, span). Keeps timers of different processes from running in lockstep.
     Duration jitter(Duration span);
 
 private:
     std::array<std::uint64_t, 4> state_;
 };
 
-/// 64-bit hash of bytes (FNV-1a with a final mix). Stable over versions and machines: it is kept and sent.
+/// 64-bit hash (FNV-1a with a final mix). Values are stored and sent, so they must not change between versions or
+/// platforms.
 std::uint64_t hash64(std::string_view bytes, std::uint64_t seed = 0);
-/// Running digest over an answer's bytes; the split into parts does not matter.
+/// Incremental digest of an answer's bytes; independent of how the bytes are split.
 class Digest
 {
 public:
@@ -144,7 +144,7 @@
     std::uint64_t state_ = 0xcbf29ce484222325ULL;
 };
 
-/// Adapter and version by name. The names decide; a key64() is for look-up only.
+/// Adapter and version by name. Equality compares the names; key64() is a hash for look-up only.
 struct AdapterVersion
 {
     std::string adapter;
@@ -156,11 +156,11 @@
         return adapter.empty();
     }
     std::uint64_t key64() const;
-    /// "adapter@version", as it is shown to operators.
+    /// Returns "adapter@version" for operators.
     std::string text() const;
 };
 
-/// Every enumeration that is logged, counted or sent has a table of names, closed by its Count.
+/// Name table of an enumeration that is logged, counted or sent. The enumeration ends with `Count`.
 template<class E>
 struct EnumNames;
 
@@ -185,16 +185,16 @@
     return std::nullopt;
 }
 
-/// A number from the wire. A value this process does not know becomes `fallback`.
+/// Converts a number from the wire. Values unknown to this build become `fallback`.
 template<class E>
 constexpr E fromWire(std::uint32_t number, E fallback)
 {
     return number < enumCount<E> ? static_cast<E>(number) : fallback;
 }
 
-/// What a caller is told about whether the call ran.
+/// What a failed call reports to its caller about its execution.
 enum class Verdict : std::uint8_t {
-    NotRun, ///< a proof: no endpoint saw the call, under this key or any earlier attempt
+    NotRun, ///< proven: no endpoint received the call, under this key or in an earlier attempt
     OutcomeUnknown, ///< it may have run
     Failed, ///< it ran and failed
     Count
@@ -205,7 +205,7 @@
     static constexpr std::array<std::string_view, enumCount<Verdict>> table{"not_run", "outcome_unknown", "failed"};
 };
 
-/// Importance of a call, most urgent first.
+/// Priority class of a call, highest first.
 enum class CallClass : std::uint8_t {
     Urgent, ///< transit rulings, reconciliations
     Normal,
@@ -218,7 +218,7 @@
     static constexpr std::array<std::string_view, enumCount<CallClass>> table{"urgent", "normal", "bulk"};
 };
 
-/// Why a call was turned away. Each has a counter.
+/// Reason for refusing a call. Each value has a counter.
 enum class RefusalReason : std::uint8_t {
     None,
     BadRequest,
@@ -229,8 +229,8 @@
     DeadlinePassed,
     NoEndpoint,
     Leaving,
-    StaleRevision, ///< resolved at an older revision that names another version
-    RevisionBehind, ///< the sidecar is behind the entry and must fetch first
+    StaleRevision, ///< resolved at an older configuration revision that names another version
+    RevisionBehind, ///< the sidecar's configuration is older than the entry's and has to be fetched first
     AdapterQuarantined,
     AdapterUnavailable,
     EndpointDown,
@@ -241,14 +241,14 @@
     KeyTooOld,
     KeyFromFuture,
     KeyTableFull,
-    KeyReused, ///< same key, another request
-    Recovering, ///< a new sidecar waits out its predecessor's orders and calls
+    KeyReused, ///< the key was used before with another request
+    Recovering, ///< a restarted sidecar waits until orders and calls of its predecessor have ended
     RetryBudgetSpent,
     ConnectionLimit,
     CallerGone,
     NotConfigured,
     Internal,
-    RequestQuarantined, ///< too many endpoints have ended under it
+    RequestQuarantined, ///< too many endpoints crashed while running it
     Count
 };
 template<>
@@ -285,9 +285,9 @@
                                                                                   "request_quarantined"};
 };
 
-/// Why a further attempt was made. Each has a counter.
+/// Reason for a further attempt. Each value has a counter.
 enum class RetryReason : std::uint8_t {
-    Refused, ///< a sidecar proved that the call did not run
+    Refused, ///< a sidecar proved that the call was not executed
     SidecarLost,
     BrokenAnswer,
     EngineFailed,
@@ -303,12 +303,12 @@
         "refused", "sidecar_lost", "broken_answer", "engine_failed", "stale_revision", "slot_moved", "hedge"};
 };
 
-/// How an execution ended, as far as its sidecar knows.
+/// Result of an execution as seen by its sidecar.
 enum class CallOutcome : std::uint8_t {
-    Complete, ///< the endpoint's whole answer was read, whatever its status
+    Complete, ///< the complete answer was read, whatever its status
     Cancelled, ///< confirmed by the endpoint
-    Failed, ///< the endpoint said so, or cut its answer
-    Unknown, ///< the connection broke; the endpoint may still run it
+    Failed, ///< the endpoint reported an error or truncated its answer
+    Unknown, ///< the connection was lost; the endpoint may still be running it
     Count
 };
 template<>
@@ -318,18 +318,18 @@
                                                                                 "unknown"};
 };
 
-/// Why a call that was started did not end well.
+/// Reason for the failure of a started call.
 enum class FailureReason : std::uint8_t {
     None,
     EndpointError,
     EndpointUnreachable, ///< the connection was refused: nothing was sent
-    EndpointCut, ///< the answer broke off
+    EndpointCut, ///< the connection closed before the end of the answer
     EndpointRestarted,
     SidecarLost,
     DeadlinePassed,
     CallerGone,
     SlowReader,
-    AnswerIncomplete, ///< frame count or digest do not agree
+    AnswerIncomplete, ///< frame count or digest does not match
     Count
 };
 template<>
@@ -340,13 +340,13 @@
         "sidecar_lost", "deadline_passed", "caller_gone",          "slow_reader",  "answer_incomplete"};
 };
 
-/// State of one adapter version at one engine, as its sidecar knows it.
+/// State of an adapter version at an engine, as tracked by its sidecar.
 enum class ResidencyState : std::uint8_t {
     Absent,
     Loading,
     Resident,
-    Evicting, ///< takes no pin
-    Unknown, ///< an order's reply was lost; settled by the engine's own list
+    Evicting, ///< accepts no new pins
+    Unknown, ///< the reply to an order was lost; resolved by listing the engine's adapters
     Count
 };
 template<>
@@ -356,14 +356,14 @@
                                                                                    "evicting", "unknown"};
 };
 
-/// What became of an order to an engine.
+/// Result of an order to an engine.
 enum class OrderOutcome : std::uint8_t {
     Done,
-    Refused, ///< the endpoint said no, before any effect
-    Failed, ///< it tried and failed
-    Unknown, ///< the reply was lost: the effect may come or have come
-    FencedOff, ///< the endpoint knows a newer fencing number
-    Expired, ///< a grant that came too late to be acted on
+    Refused, ///< the endpoint rejected it before any effect
+    Failed, ///< the endpoint executed it and failed
+    Unknown, ///< the reply was lost; the order may take effect later or already has
+    FencedOff, ///< the endpoint has seen a newer fencing number
+    Expired, ///< the grant arrived after its deadline
     Count
 };
 template<>
@@ -373,10 +373,10 @@
                                                                                  "unknown", "fenced_off", "expired"};
 };
 
-/// Version of the envelope between processes.
+/// Protocol version of the messages between processes.
 constexpr std::uint32_t wireProtocol = 1;
 
-/// A counter per value of an enumeration; the only way parts count.
+/// One counter per value of an enumeration.
 template<class E>
 class Counters
 {
--- a/include/anvilscale/settings.h
+++ b/include/anvilscale/settings.h
@@ -1,6 +1,5 @@
-// Settings library: reads a daemon's JSON settings and checks them whole before anything starts. The fields are
-// those of schema/settings.proto; defaults and ranges stand in one table (src/settings/rules.cpp), from which
-// docs/settings.md is made as well.
+// Settings library: reads and validates a daemon's JSON settings. Fields are defined in schema/settings.proto, defaults
+// and ranges in src/settings/rules.cpp (also the source of docs/settings.md).
 #pragma once
 
 #include "settings.pb.h"
@@ -19,7 +18,7 @@
     WrongType,
     OutOfRange,
     Missing,
-    Contradiction, ///< two fields that do not go together
+    Contradiction, ///< two fields contradict each other
     Count
 };
 template<>
@@ -32,17 +31,18 @@
 struct SettingsError
 {
     SettingsErrorKind kind = SettingsErrorKind::BadJson;
-    std::string path; ///< of the field, e.g. "entry.bodyLimitBytes"
-    std::string detail; ///< for people
+    std::string path; ///< path of the field, e.g. "entry.bodyLimitBytes"
+    std::string detail; ///< human-readable description
 };
 
-/// Checks the text and fills in defaults. The result is complete: no part of the daemon knows a default of its own.
+/// Parses and validates settings and fills in all defaults, so that the daemon needs none of its own. Returns the first
+/// error found.
 tl::expected<settings::Settings, SettingsError> parseSettings(std::string_view json);
 tl::expected<settings::Settings, SettingsError> readSettings(const std::string &file);
 bool isRole(std::string_view role);
-/// Settings of a role with every default, as JSON.
+/// Returns the default settings of a role as JSON.
 std::string printDefaults(std::string_view role);
-/// The table of all fields, with default, range and meaning, in Markdown.
+/// Returns the reference table of all fields (default, range, meaning) in Markdown.
 std::string settingsPage();
 
 } // namespace anvilscale
--- a/include/anvilscale/state.h
+++ b/include/anvilscale/state.h
@@ -1,6 +1,6 @@
-// State library: what the processes agree on and remember. Configuration by revision, leases, at-most-once slots
-// with their seen keys, and membership. State machines without I/O: requests to the key-value service come out as
-// KvRequest, replies go in. One control thread; nothing here is shared between threads.
+// State library: configuration by revision, leases, at-most-once slots with their seen keys, and membership. State
+// machines without I/O: requests to the key-value service are emitted as KvRequest, replies are passed in.
+// Single-threaded: everything runs on the control thread.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -36,24 +36,24 @@
 
 namespace anvilscale {
 
-/// Single safeguards, switched off only by tests that show that a check finds the failure which the safeguard
-/// prevents. All are on in the product.
+/// Switches for single safeguards. All are on in production; tests turn one off to verify that they detect the failure
+/// which it prevents.
 struct StateSafeguards
 {
-    bool leaseClock = true; ///< a holder stops acting by its own clock, not only when the service tells
-    bool leaseFromSend = true; ///< a lease is counted from before the send, not from the reply
-    bool takeOverAfterLease = true; ///< slots of another owner are taken only when its lease key is gone
-    bool takenAtRefusal = true; ///< keys stamped before the take-over time and its margin are refused
-    bool refuseWhileGiving = true; ///< slots on their way to a receiver are refused by the giver
-    bool keysBeforeTable = true; ///< the table moves only when all seen keys are acknowledged
-    bool forgetOnlyOld = true; ///< a full table refuses; off: it forgets its oldest key
-    bool readBack = true; ///< a write without a reply is read back; off: it counts as failed
-    bool leavingFinal = true; ///< an incarnation that left does not come back by a late heartbeat
+    bool leaseClock = true; ///< a holder also stops acting by its own clock, not only on a reply of the service
+    bool leaseFromSend = true; ///< a lease is counted from before its request is sent, not from the reply
+    bool takeOverAfterLease = true; ///< slots of another owner are claimed only after its lease key has been deleted
+    bool takenAtRefusal = true; ///< keys stamped before the takeover time plus margin are refused
+    bool refuseWhileGiving = true; ///< slots being transferred are refused by the sender
+    bool keysBeforeTable = true; ///< the table names the receiver only after all seen keys are acknowledged
+    bool forgetOnlyOld = true; ///< a full key table refuses new keys; if off, it evicts the oldest key
+    bool readBack = true; ///< a write without a reply is read back; if off, it counts as failed
+    bool leavingFinal = true; ///< a late heartbeat does not revive an incarnation that has left
 };
 
 // ---- configuration
 
-/// Newest schema version of configuration records that this build reads; told in heartbeats and Hello.
+/// Newest schema version of configuration records that this build reads; sent in heartbeats and Hello.
 constexpr std::uint32_t newestSchemaVersion = 2;
 
 enum class ConfigErrorKind : std::uint8_t {
@@ -62,13 +62,13 @@
     UnknownSchemaVersion,
     MissingField,
     OutOfRange,
-    UnknownReference, ///< a route names an adapter or version that is not there
-    Conflict, ///< another writer was first; `revision` is the current one
-    NotNext, ///< a delta that does not follow the present revision
+    UnknownReference, ///< a route refers to a missing adapter or version
+    Conflict, ///< another writer changed the head first; `revision` is the current one
+    NotNext, ///< the delta does not follow the current revision
     DigestMismatch,
     TooLarge,
-    Unavailable, ///< the key-value service could not be asked: nothing was changed
-    OutcomeUnknown, ///< the write's reply was lost and could not be read back
+    Unavailable, ///< the key-value service could not be reached; nothing was changed
+    OutcomeUnknown, ///< the reply to the write was lost and could not be read back
     Count
 };
 template<>
@@ -83,30 +83,30 @@
 {
     ConfigErrorKind kind = ConfigErrorKind::BadJson;
     std::string path; ///< record and field, e.g. "route/lounge-mn.deadlineMs"
-    std::string detail; ///< for people
+    std::string detail; ///< human-readable description
     std::uint64_t revision = 0;
 };
 
-/// The operators' weights and limits. Defaults suit both deployments; `policy` records override.
+/// Weights and limits set by operators. `policy` records override these defaults.
 struct Policy
 {
-    double stallWeight = 1.0; ///< per second of load stall
-    double batchWeight = 1.0; ///< per unit of step fill
-    double loadRate = 4.0; ///< loads a second that the weight store allows, all sidecars together
+    double stallWeight = 1.0; ///< cost per second of load stall
+    double batchWeight = 1.0; ///< value per unit of step fill
+    double loadRate = 4.0; ///< loads per second that the weight store allows, summed over all sidecars
     std::uint32_t parallelLoads = 1;
-    std::uint32_t reservedSlots = 0; ///< adapter slots of an engine kept for CallClass::Urgent
-    double retryBudget = 0.1; ///< executions created by retries over first executions
+    std::uint32_t reservedSlots = 0; ///< adapter slots per engine reserved for CallClass::Urgent
+    double retryBudget = 0.1; ///< ratio of executions created by retries to first executions
     std::array<double, enumCount<CallClass>> classWeights{4.0, 2.0, 1.0};
-    Duration cancelDelay = Seconds(10); ///< a cancel waits this long for a repeat to attach
-    std::uint32_t queueLimit = 256; ///< calls waiting at one sidecar
+    Duration cancelDelay = Seconds(10); ///< delay before a cancel, in which a repeated call may still attach
+    std::uint32_t queueLimit = 256; ///< maximum number of calls queued at one sidecar
     Duration defaultDeadline = Seconds(30);
-    double hedgeQuantile = 0.0; ///< 0: no hedging
+    double hedgeQuantile = 0.0; ///< 0 disables hedging
 };
 
 struct RouteView
 {
     AdapterVersion target;
-    std::string nextVersion; ///< to be loaded ahead of a switch; empty if none
+    std::string nextVersion; ///< preloaded before a version switch; empty if none
     std::string_view baseModel;
     Duration deadline{};
     CallClass callClass = CallClass::Normal;
@@ -118,13 +118,13 @@
     Duration deadline{};
     CallClass callClass = CallClass::Normal;
     std::uint32_t slots = 1024;
-    Duration window = std::chrono::minutes(10); ///< W: how long a seen key is kept
-    Duration skew = Seconds(1); ///< largest difference between two wall clocks
-    Duration margin = Seconds(10); ///< added to an owner's take-over time
+    Duration window = std::chrono::minutes(10); ///< how long seen keys are kept (W in the design)
+    Duration skew = Seconds(1); ///< maximum difference between two wall clocks
+    Duration margin = Seconds(10); ///< added to an owner's takeover time
 };
 
-/// The configuration at one revision, and the only way to move to a higher one. Invariants: revision() never falls;
-/// digest() is a function of the records alone, so that two processes at one revision compare equal.
+/// Configuration at one revision. Invariants: revision() never decreases; digest() depends on the records alone, so two
+/// processes at the same revision can compare it.
 class ConfigStore
 {
 public:
@@ -138,27 +138,27 @@
     std::optional<RouteView> route(std::string_view name) const;
     std::optional<ServiceView> service(std::string_view name) const;
     const Policy &policy() const;
-    /// Where the endpoint finds the weights of a version; empty if the adapter or version is not configured.
+    /// Returns the location of a version's weights; empty if the adapter or version is not configured.
     std::string weights(const AdapterVersion &which) const;
     std::size_t adapterCount() const;
 
-    /// Applies the delta that makes revision()+1; anything else is NotNext and changes nothing.
+    /// Applies the delta to revision()+1. Any other revision returns NotNext. On error nothing is changed.
     tl::expected<void, ConfigError> apply(const config::Delta &delta);
-    /// Replaces everything, if the snapshot is whole and of a higher revision.
+    /// Replaces all records if the snapshot is complete and of a higher revision.
     tl::expected<void, ConfigError> restore(std::span<const config::Snapshot> chunks);
-    /// Takes the chunks of a snapshot one by one, in order; with the last one everything is replaced at once.
+    /// Adds the next chunk of a snapshot, in order. The last chunk replaces all records at once.
     tl::expected<void, ConfigError> stage(const config::Snapshot &chunk);
-    /// Whether the changes would be accepted on top of this revision, and the digest after them.
+    /// Checks changes against this revision and returns the digest after them, without applying them.
     tl::expected<std::uint64_t, ConfigError> validate(std::span<const config::Change> changes) const;
-    /// What a peer at `have` lacks: kept deltas, or a chunk of a snapshot if they do not reach back that far. A peer
-    /// that has begun to fetch a snapshot names its revision and the next chunk.
+    /// Returns what a peer at revision `have` is missing: the cached deltas, or a snapshot chunk if they do not reach
+    /// back far enough. A peer that is fetching a snapshot passes its revision and the next chunk.
     wire::ConfigPush pushSince(std::uint64_t have, std::uint64_t snapshotRevision = 0, std::uint32_t part = 0) const;
-    /// All records as they were written (adapters and routes in their canonical text), for `anvilctl config get`.
+    /// Returns all records as written (adapters and routes in canonical form), for `anvilctl config get`.
     std::vector<config::Change> records() const;
     std::optional<std::string> recordText(std::string_view kind, std::string_view name) const;
-    /// Everything in chunks of about `chunkBytes`, for the key-value service.
+    /// Returns all records in chunks of about `chunkBytes`, for the key-value service.
     std::vector<config::Snapshot> snapshot(std::size_t chunkBytes) const;
-    /// Bytes held for the records and for kept deltas.
+    /// Memory used by records and cached deltas, in bytes.
     std::size_t memoryBytes() const;
 
 private:
@@ -166,20 +166,20 @@
     std::unique_ptr<Impl> impl_;
 };
 
-/// Parses and checks one record as an operator wrote it, either schema version.
+/// Parses and validates a record written by an operator, in either schema version.
 tl::expected<config::Change, ConfigError> parseRecord(std::string_view json);
 
-// ---- times of leases and membership, from the settings
+// ---- timing of leases and membership, from the settings
 
 struct Timing
 {
     Duration heartbeat = Milliseconds(500);
     Duration suspect = Milliseconds(2500);
     Duration lease = Seconds(10);
-    Duration leaseMargin = Seconds(2); ///< a holder stops acting this long before its lease ends
+    Duration leaseMargin = Seconds(2); ///< a holder stops acting this long before its lease expires
     Duration vmList = Seconds(2);
     Duration configPoll = Seconds(5);
-    Duration leave = Seconds(3); ///< a leaving endpoint gets no new work after this
+    Duration leave = Seconds(3); ///< a leaving endpoint gets no new work after this time
 };
 
 enum class LeaseState : std::uint8_t {
@@ -195,16 +195,16 @@
     static constexpr std::array<std::string_view, enumCount<LeaseState>> table{"none", "asking", "held", "lost"};
 };
 
-/// Holds one key in the key-value service under a lease, with a fencing number that grows at each take-over.
-/// mayAct() is asked directly before each effect: a holder that was paused sees by its own monotonic clock that
-/// its lease is over, because the time is counted from before the last successful keep-alive was sent.
+/// Acquires and holds one key in the key-value service under a lease, with a fencing number that increases with every
+/// acquisition. Callers check mayAct() directly before each effect: the lease is counted from before its last
+/// keep-alive was sent, so a holder that was paused detects by its own monotonic clock that its lease has expired.
 class LeaseKeeper
 {
 public:
     struct Init
     {
         std::string key;
-        std::string holder; ///< text kept under the key, with the fence
+        std::string holder; ///< name of the holder, stored in the key's value
         std::uint64_t incarnation = 0;
         std::string address;
         Timing timing;
@@ -212,13 +212,13 @@
         std::uint64_t seed = 1;
         StateSafeguards safeguards = {};
     };
-    /// `submit` is given each request; its reply comes to onReply with the same handle.
+    /// Requests are passed to `submit`; their replies go to onReply() with the same handle.
     LeaseKeeper(Init init, std::function<void(KvRequest)> submit);
     ~LeaseKeeper();
     void start(Now now);
-    /// Gives the lease back.
+    /// Revokes the lease.
     void stop(Now now);
-    /// True if the reply was one of this keeper's.
+    /// Returns true if the reply belongs to this object.
     bool onReply(const KvReply &reply, Now now);
     bool mayAct(TimePoint now) const;
     std::uint64_t fence() const; ///< 0 if not held
@@ -231,29 +231,29 @@
 
 // ---- the configuration in the key-value service and between processes
 
-/// Follows one key, or all keys of a range: one full read, then a watch from the revision after it. A watch that
-/// breaks is resumed from the last revision seen; where the service no longer keeps it, all is read again.
+/// Watches one key or a key range: one full read, then a watch from the next revision. A broken watch resumes after the
+/// last revision received; if the service has compacted it, the range is read again.
 class KeyFollower
 {
 public:
     struct Init
     {
         std::string key;
-        std::string rangeEnd; ///< empty: `key` alone
+        std::string rangeEnd; ///< watches `key` alone if empty
         TimerService *timers = nullptr;
-        Duration longestWait = Seconds(10); ///< of the backoff while the service is out of reach
+        Duration longestWait = Seconds(10); ///< maximum backoff while the service is unreachable
         std::uint64_t seed = 1;
     };
-    /// `changed` is given all entries after a full read (`full`), else the entries changed or deleted.
+    /// `changed` receives all entries after a full read (`full`), otherwise only those changed or deleted.
     KeyFollower(Init init, std::function<void(KvRequest)> submit,
                 std::function<void(const std::vector<KvEntry> &, bool full, Now)> changed);
     ~KeyFollower();
     void start(Now now);
     void stop();
     bool onReply(const KvReply &reply, Now now);
-    /// Time of the last full read or event; empty before the first.
+    /// Time of the last full read or event; nullopt before the first.
     std::optional<TimePoint> lastAnswer() const;
-    /// Whether the watch stands.
+    /// Returns true while the watch is established.
     bool watching() const;
 
 private:
@@ -261,8 +261,8 @@
     std::unique_ptr<Impl> impl_;
 };
 
-/// Keeps a ConfigStore up to date: from the key-value service in the few processes of a data centre that watch the
-/// head, and by pushes and digests of peers in all others. Invariant: the store only moves to a higher revision.
+/// Keeps a ConfigStore up to date. A few processes per data centre watch the head in the key-value service; all others
+/// receive deltas and digests from peers. Invariant: the store only moves to a higher revision.
 class ConfigSpread
 {
 public:
@@ -272,8 +272,8 @@
         std::uint64_t incarnation = 0;
         std::string dataCentre;
         std::string keyPrefix = "/anvilscale/";
-        bool mayWatch = false; ///< entries may take one of the data centre's watcher leases
-        std::uint32_t watchers = 2; ///< watchers a data centre
+        bool mayWatch = false; ///< true for entries: may acquire one of the data centre's watcher leases
+        std::uint32_t watchers = 2; ///< number of watchers per data centre
         Timing timing;
         Duration staleAfter = Seconds(30);
         ConfigStore *store = nullptr;
@@ -284,8 +284,8 @@
     {
         std::function<void(KvRequest)> submit;
         std::function<void(const std::string &peer, wire::Envelope message)> sendToPeer;
-        std::function<void(Now)> changed; ///< the store has moved
-        std::function<void(const ConfigError &, Now)> refused = nullptr; ///< a change that cannot be taken
+        std::function<void(Now)> changed; ///< the store's revision has increased
+        std::function<void(const ConfigError &, Now)> refused = nullptr; ///< a change that cannot be applied
     };
     struct Stats
     {
@@ -293,31 +293,32 @@
         std::uint64_t pushesTaken = 0;
         std::uint64_t pushesRefused = 0;
         std::uint64_t fetchesSent = 0;
-        std::uint64_t storeReads = 0; ///< reads of the key-value service
+        std::uint64_t storeReads = 0; ///< reads from the key-value service
         std::uint64_t readFailures = 0;
-        std::uint64_t applied = 0; ///< revisions taken
+        std::uint64_t applied = 0; ///< revisions applied
         std::uint64_t digestMismatches = 0;
-        std::uint64_t staleSpells = 0; ///< times that stale() became true
+        std::uint64_t staleSpells = 0; ///< number of times that stale() became true
     };
     ConfigSpread(Init init, Callbacks callbacks);
     ~ConfigSpread();
     void start(Now now);
     bool onReply(const KvReply &reply, Now now);
-    /// What a peer's heartbeat or Hello says of its configuration. `age`: how long ago the peer knew its revision to
-    /// be the head's, by its age(); a chain of peers can so confirm a head, but never one another.
+    /// Processes the configuration state in a peer's heartbeat or Hello. `age` is the peer's age(): the time since its
+    /// revision was last confirmed as the head. Passing it along a chain of peers can confirm a revision, but peers
+    /// cannot confirm one another.
     void onPeerRevision(const std::string &peer, std::uint64_t revision, std::uint64_t digest, Now now,
                         std::optional<Duration> age = std::nullopt);
     void onPeerLost(const std::string &peer);
     void onPush(const wire::ConfigPush &push, Now now);
-    /// A peer asks for what it lacks.
+    /// Answers a peer's request for missing revisions.
     void onFetch(const std::string &peer, const wire::ConfigFetch &fetch, Now now);
-    /// The head could not be confirmed for longer than staleAfter, neither by the service nor by a peer that could.
+    /// Returns true if the head was not confirmed for longer than staleAfter, neither by the service nor by a peer.
     bool stale() const;
-    /// Time since the store was last known to be at the head; goes out with heartbeats and Hello.
+    /// Time since the store was last confirmed to be at the head; sent with heartbeats and Hello.
     Duration age(TimePoint now) const;
-    /// True from the start until a first configuration was had from the service or a peer.
+    /// Returns true until the first configuration was received from the service or a peer.
     bool empty() const;
-    bool watching() const; ///< holds one of the watcher leases
+    bool watching() const; ///< returns true while holding a watcher lease
     const Stats &stats() const;
 
 private:
@@ -325,7 +326,7 @@
     std::unique_ptr<Impl> impl_;
 };
 
-/// Appends one change to the configuration by compare-and-swap. The store is first brought to the head.
+/// Appends changes to the configuration by compare-and-swap, after bringing the store to the head.
 class ConfigWriter
 {
 public:
@@ -333,24 +334,25 @@
     {
         std::string keyPrefix = "/anvilscale/";
         std::string author;
-        /// Newest schema version that every live process reads (Membership::schemaVersionOfAll); 0: not known.
+        /// Newest schema version that all live processes can read (Membership::schemaVersionOfAll); 0 if unknown.
         std::uint32_t schemaVersionOfAll = 0;
-        std::uint32_t snapshotEvery = 100; ///< revisions between two snapshots
-        std::size_t chunkBytes = 900'000; ///< of a snapshot; values have at most a megabyte
+        std::uint32_t snapshotEvery = 100; ///< revisions between snapshots
+        std::size_t chunkBytes = 900'000; ///< size of a snapshot chunk; the service limits values to one megabyte
         ConfigStore *store = nullptr;
         TimerService *timers = nullptr;
         std::uint64_t seed = 1;
         StateSafeguards safeguards = {};
     };
-    /// The revision that the change made, or why there is none.
+    /// The revision created by the change, or the reason why there is none.
     using Result = tl::expected<std::uint64_t, ConfigError>;
     ConfigWriter(Init init, std::function<void(KvRequest)> submit, std::function<void(const Result &, Now)> done);
     ~ConfigWriter();
-    /// One change set at a time. `changeId` is unique for ever. With `expected`, any other head is a Conflict.
+    /// Applies one change set; only one at a time. `changeId` must be globally unique. If `expected` is set, any other
+    /// head is a Conflict.
     void apply(std::vector<config::Change> changes, std::string changeId, std::optional<std::uint64_t> expected,
                Now now);
-    /// Writes a snapshot of the head if one is due, and drops deltas and snapshots that nobody needs any more.
-    /// `done` is called with the head's revision.
+    /// Writes a snapshot of the head if one is due and deletes deltas and snapshots that are no longer needed. Calls
+    /// `done` with the head's revision.
     void compact(Now now);
     bool onReply(const KvReply &reply, Now now);
 
@@ -359,14 +361,15 @@
     std::unique_ptr<Impl> impl_;
 };
 
-// ---- at most once
+// ---- at-most-once execution
 
-/// Validity of an Idempotency-Key: a UUIDv7 (RFC 9562), whose first 48 bits are milliseconds since 1970.
+/// Returns the time stamp of an Idempotency-Key, or nullopt if it is not a UUIDv7 (RFC 9562), whose first 48 bits are
+/// milliseconds since 1970.
 std::optional<WallTime> keyTime(std::string_view key);
 std::string makeKey(WallTime now, Random &random);
 std::uint32_t slotOf(std::string_view key, std::uint32_t slots);
 
-/// The finished answer of an execution, kept for repeats.
+/// Answer of a finished execution, cached for repeated calls.
 struct KeptAnswer
 {
     CallOutcome outcome = CallOutcome::Unknown;
@@ -377,9 +380,9 @@
 };
 
 enum class KeyDecisionKind : std::uint8_t {
-    Run, ///< new: registered as running
-    Attach, ///< running now
-    Replay, ///< finished within the window
+    Run, ///< new key, registered as running
+    Attach, ///< the execution is still running
+    Replay, ///< finished within the window; its answer is cached
     Refuse,
     Count
 };
@@ -399,8 +402,8 @@
     bool provedNotRun = false; ///< Refuse
 };
 
-/// The keys seen by the owner of some slots of one service. Invariants: a key that was registered is kept until
-/// its stamp is older than the window, whatever happens; a full table refuses and forgets nothing early.
+/// Keys seen by the owner of a service's slots. Invariants: a registered key is kept until its stamp is older than the
+/// window; a full table refuses new keys and never evicts one early.
 class SeenKeys
 {
 public:
@@ -413,23 +416,24 @@
     explicit SeenKeys(Limits limits);
     ~SeenKeys();
 
-    /// Decides on a call with this key. `fingerprint` is a hash of method, path and body: a key that comes back with
-    /// another one is KeyReused. `takenAt` is the take-over time of the owner's slot, including the margin; keys
-    /// stamped before it are refused as unknown. With Run the key is registered under `execution`.
+    /// Decides on a call with this key. `fingerprint` is a hash of method, path and body; a known key with another
+    /// fingerprint is refused as KeyReused. `takenAt` is the slot's takeover time plus margin; older keys are refused
+    /// with an unknown outcome. On Run the key is registered under `execution`.
     KeyDecision admit(std::string_view key, std::uint64_t fingerprint, const ServiceView &service, WallTime takenAt,
                       ExecutionHandle execution, Now now);
-    /// The execution did certainly not reach the endpoint: the key is free again.
+    /// Releases the key of an execution that has certainly not reached the endpoint; the key may run again.
     void release(std::string_view key);
-    /// The execution ended. Answers over the memory limit are dropped, the key is kept: a repeat is told "unknown".
+    /// Records the end of an execution. Answers beyond the memory limit are dropped but the key is kept; a repeat then
+    /// gets an unknown outcome.
     void finish(std::string_view key, KeptAnswer answer, Now now);
-    /// Forgets keys that are out of the window.
+    /// Removes keys older than the window.
     void expire(const ServiceView &service, Now now);
     std::size_t size() const;
     std::size_t answerBytes() const;
 
-    /// For the hand-over: all keys of a slot, running ones as outcome unknown.
+    /// Exports all keys of a slot for a handover; running ones with an unknown outcome.
     void exportSlot(std::uint32_t slot, std::uint32_t slots, Now now, wire::SlotHandover &into) const;
-    /// False if there is no room for the part: nothing was taken.
+    /// Imports keys of a handover. Returns false, without importing any, if the part exceeds the capacity.
     bool importPart(const wire::SlotHandover &part, Now now);
 
 private:
@@ -437,53 +441,54 @@
     std::unique_ptr<Impl> impl_;
 };
 
-/// Whether, and since when, this sidecar owns a slot of a service.
+/// Ownership of one slot of a service by this sidecar.
 struct SlotOwnership
 {
     bool owned = false;
     std::uint64_t fence = 0;
-    WallTime takenAt; ///< including the margin; keys stamped before it are refused as unknown
+    WallTime takenAt; ///< takeover time plus margin; older keys are refused with an unknown outcome
 };
 
-/// Takes and keeps this sidecar's share of a service's slots in the one table of that service.
+/// Claims and maintains this sidecar's share of a service's slots in the service's slot table.
 class SlotOwner
 {
 public:
     struct Init
     {
         std::string service;
-        std::string keyPrefix; ///< the table is kept at keyPrefix + "slots/" + service
+        std::string keyPrefix; ///< the table is stored at keyPrefix + "slots/" + service
         std::string self;
         std::uint64_t incarnation = 0;
         Timing timing;
         const ConfigStore *config = nullptr;
         TimerService *timers = nullptr;
         std::uint64_t seed = 1;
-        /// The keys to hand over and to take in. Without it (or without `send`) slots are left free at a drain.
+        /// Keys exported and imported by handovers. Without it (or without `send`) a drain leaves the slots unowned.
         SeenKeys *seen = nullptr;
         /// Sends SlotHandover and SlotHandoverAck to another sidecar of the service, by name.
         std::function<void(const std::string &member, wire::Envelope message)> send = nullptr;
-        /// Called for a slot that is refused from now on, before its keys are exported: calls that wait for a start
-        /// are to be refused as not run and their keys released, so that the receiver may run them.
+        /// Called when a slot starts to be refused, before its keys are exported. Calls waiting to start must be
+        /// refused as not run and their keys released, so that the receiver may run them.
         std::function<void(std::uint32_t slot)> beforeGiving = nullptr;
         StateSafeguards safeguards = {};
     };
     SlotOwner(Init init, std::function<void(KvRequest)> submit);
     ~SlotOwner();
     void start(Now now);
-    /// Sidecars of the service that are alive and not leaving, this one included: the table is shared out evenly.
+    /// Updates the sidecars of the service that are alive and not leaving, including this one. Slots are divided evenly
+    /// among them.
     void onMembers(const std::vector<std::string> &names, Now now);
     bool onReply(const KvReply &reply, Now now);
-    /// Asked directly before each effect.
+    /// Returns the current ownership. Must be checked directly before each effect.
     SlotOwnership owns(std::uint32_t slot, Now now) const;
-    /// Starts to give all slots away; parts go out through `handover` and the table names the receiver last.
+    /// Starts transferring all slots: their keys are sent first, then the table names the receivers.
     void drain(Now now);
-    /// The table names no slot of ours any more.
+    /// Returns true once a drain is finished and the table lists no slot of this sidecar.
     bool drained() const;
-    /// Takes the keys in and acknowledges; false if the part is not acknowledged.
+    /// Imports the keys and acknowledges them. Returns false if the part is not accepted.
     bool onHandover(const wire::SlotHandover &part, Now now);
     void onHandoverAck(const wire::SlotHandoverAck &ack, Now now);
-    /// Gives the lease back; to be called after the drain.
+    /// Revokes the lease; to be called after the drain.
     void stop(Now now);
     std::vector<std::uint32_t> slots() const;
 
@@ -492,7 +497,7 @@
     std::unique_ptr<Impl> impl_;
 };
 
-/// The slot table as an entry knows it: where to send a call that must run at most once.
+/// Target of a call that must run at most once, from an entry's copy of the slot table.
 struct SlotTarget
 {
     std::string owner;
@@ -504,8 +509,8 @@
 
 enum class MemberState : std::uint8_t {
     Live,
-    Suspect, ///< silent for a while: gets no new work, keeps its calls
-    Leaving, ///< final for the incarnation
+    Suspect, ///< no heartbeat for the suspect time; gets no new work but keeps its calls
+    Leaving, ///< final for this incarnation
     Gone,
     Count
 };
@@ -526,8 +531,8 @@
     std::string address;
 };
 
-/// Who is there, from the lagging list of VMs and from direct heartbeats. A heartbeat goes before the list, except
-/// that leaving is final. Invariant: an incarnation never returns from Leaving or Gone.
+/// Members derived from the lagging list of VMs and from direct heartbeats. Heartbeats take precedence over the list,
+/// except that leaving is final. Invariant: an incarnation never returns from Leaving or Gone.
 class Membership
 {
 public:
@@ -542,13 +547,13 @@
     ~Membership();
     void onVmList(const std::vector<VmInfo> &list, Now now);
     void onHeartbeat(const wire::Heartbeat &heartbeat, Now now);
-    /// A short sign of life of the start last heard by a heartbeat; of any other start it says nothing.
+    /// Processes a short heartbeat. It counts only for the incarnation of the last full heartbeat.
     void onBeat(std::string_view name, const wire::Beat &beat, Now now);
     void onDrain(const wire::DrainOrder &order, Now now);
     void onUnreachable(const std::string &name, Now now);
     const Member *find(std::string_view name) const;
     std::vector<Member> members() const;
-    /// Newest schema version of configuration records that every member heard of can read; 0 if none has told.
+    /// Newest schema version of configuration records that all members can read; 0 if none has reported one.
     std::uint32_t schemaVersionOfAll() const;
 
 private:
--- a/include/anvilscale/telemetry.h
+++ b/include/anvilscale/telemetry.h
@@ -1,5 +1,5 @@
-// Telemetry library: numbered log events, counters and histograms. Events and metrics are declared in tables, so
-// that the catalogue in docs/events.md can be checked against the code.
+// Telemetry library: numbered log events, counters and histograms. Events are declared in one table, which is checked
+// against docs/events.md.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -27,7 +27,7 @@
     static constexpr std::array<std::string_view, enumCount<LogLevel>> table{"debug", "info", "warn", "error"};
 };
 
-/// Every line that a process can log. The number in eventTable is for ever; the text may be improved.
+/// Log events. Numbers in eventTable are never reused or changed; the texts may be.
 enum class Event : std::uint16_t {
     ProcessStarted,
     ProcessStopped,
@@ -89,7 +89,7 @@
     std::string_view text;
 };
 
-/// Indexed by Event.
+/// Descriptions of all events, indexed by Event.
 extern const std::array<EventInfo, enumCount<Event>> eventTable;
 
 struct LogField
@@ -101,26 +101,26 @@
 struct LogInit
 {
     LogLevel level = LogLevel::Info;
-    std::string file; ///< empty: standard error; "-": standard output
-    std::string process; ///< put into every line
+    std::string file; ///< standard error if empty, standard output if "-"
+    std::string process; ///< process name, written to every line
 };
 
-/// Sets up log4cxx with one JSON object a line. Call once, before other threads start.
+/// Configures log4cxx to write one JSON object per line. Must be called once, before other threads start.
 void initLog(const LogInit &init);
 void shutdownLog();
-/// Any thread.
+/// Sets the minimum level. Thread-safe.
 void setLogLevel(LogLevel level);
-/// A span as a log field.
+/// Converts a duration to whole milliseconds, for log fields.
 constexpr std::int64_t wholeMs(Duration span)
 {
     return std::chrono::duration_cast<Milliseconds>(span).count();
 }
-/// Logs one event. Any thread.
+/// Logs one event. Thread-safe.
 void logEvent(Event event, std::initializer_list<LogField> fields = {});
-/// The line as it is written, without the time; for tests.
+/// Returns the line that logEvent() writes, without the time stamp; for tests.
 std::string formatEvent(Event event, std::initializer_list<LogField> fields);
 
-/// A histogram of Boost.Histogram with fixed bounds, in the unit that the metric's name ends in. Any thread.
+/// Histogram with fixed bucket bounds, in the unit of the metric's name suffix. Thread-safe.
 class HistogramMetric
 {
 public:
@@ -129,7 +129,7 @@
     HistogramMetric(const HistogramMetric &) = delete;
     HistogramMetric &operator=(const HistogramMetric &) = delete;
     void record(double value, double weight = 1.0);
-    /// Appends the metric in the Prometheus text format.
+    /// Appends the histogram in the Prometheus text format.
     void render(std::string &out) const;
 
 private:
@@ -137,13 +137,13 @@
     std::unique_ptr<Impl> impl_;
 };
 
-/// Writes metrics in the Prometheus text format, in the order of the calls.
+/// Builds a Prometheus text page; metrics appear in the order of the calls.
 class MetricsText
 {
 public:
     void counter(std::string_view name, std::string_view help, std::uint64_t value);
     void gauge(std::string_view name, std::string_view help, double value);
-    /// One line for each value of the enumeration, also for those never counted.
+    /// Writes one line per value of the enumeration, including zero counts.
     template<class E>
     void counters(std::string_view name, std::string_view help, std::string_view label, const Counters<E> &values)
     {
--- a/src/base/random.cpp
+++ b/src/base/random.cpp
@@ -1,4 +1,4 @@
-// Seeded random numbers (xoshiro256**, seeded through splitmix64) and stable hashes.
+// Random number generator (xoshiro256**, seeded with splitmix64) and stable hashes.
 #include "anvilscale/base.h"
 
 #include <bit>
--- a/src/base/timer_service.cpp
+++ b/src/base/timer_service.cpp
@@ -1,4 +1,4 @@
-// The timer service: a heap of subscriptions that its owner advances.
+// Timer queue: a binary heap of subscriptions.
 #include "anvilscale/base.h"
 
 namespace anvilscale {
--- a/src/settings/rules.cpp
+++ b/src/settings/rules.cpp
@@ -1,4 +1,4 @@
-// The table of settings: every number, text and flag with its default, its range and its meaning.
+// Table of all settings with default, range and meaning, and the checks of text formats.
 #include "rules.h"
 
 #include "anvilscale/telemetry.h"
@@ -128,7 +128,7 @@
     return parsed.ec == std::errc() && parsed.ptr == end && port >= 1 && port <= 65535;
 }
 
-/// The address of "http://ADDRESS:PORT/...", or empty.
+/// Returns the IP address in "http://ADDRESS:PORT/...", or an empty view if the URL is not valid.
 std::string_view addressOf(std::string_view url)
 {
     constexpr std::string_view scheme = "http://";
--- a/src/settings/rules.h
+++ b/src/settings/rules.h
@@ -1,4 +1,4 @@
-// The rules that settings are checked by: one line a field, with default, range and meaning.
+// Validation rules of the settings: one entry per field with default, range and meaning.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace anvilscale::settings_rules {
 
-/// Which role's settings a field belongs to.
+/// Roles whose settings contain a field.
 enum class Scope : std::uint8_t {
     All,
     Relayed, ///< entry and sidecar of the relayed path
@@ -40,7 +40,7 @@
     Role,
     EndpointKind,
     LogLevel,
-    NameList ///< letters, digits, '_' and commas between
+    NameList ///< names of letters, digits and '_', separated by commas
 };
 
 struct TextRule
@@ -67,7 +67,7 @@
 bool matches(TextForm form, std::string_view text);
 std::string_view describe(TextForm form);
 std::string_view describe(Scope scope);
-/// True if a process of `role` reads settings of this scope.
+/// Returns true if a process of `role` reads settings of this scope.
 bool applies(Scope scope, std::string_view role);
 
 } // namespace anvilscale::settings_rules
--- a/src/settings/schema_check.cpp
+++ b/src/settings/schema_check.cpp
@@ -1,4 +1,4 @@
-// Walks a JSON tree along a message type. Field names are those of protobuf's JSON form (lowerCamelCase).
+// Validates a JSON tree against a message type. Field names are in protobuf's JSON form (lowerCamelCase).
 #include "schema_check.h"
 
 #include <google/protobuf/util/json_util.h>
--- a/src/settings/schema_check.h
+++ b/src/settings/schema_check.h
@@ -1,5 +1,5 @@
-// Compares a JSON text with a message type of the schema, so that an error names the field and its kind.
-// Protobuf's own reader refuses the same texts, but tells it in prose only.
+// Validates JSON against a protobuf message type. Protobuf's own parser rejects the same input but reports errors only
+// as text; this one returns the field's path and the kind of error.
 #pragma once
 
 #include "anvilscale/settings.h"
@@ -11,12 +11,12 @@
 
 namespace anvilscale {
 
-/// The text as a tree, or BadJson.
+/// Parses JSON into a tree. Returns BadJson if the text is malformed.
 tl::expected<google::protobuf::Struct, SettingsError> parseTree(std::string_view json);
-/// The first unknown field or wrong type, in the order of names.
+/// Returns the first unknown field or type mismatch, in alphabetical order of the field names.
 std::optional<SettingsError> checkTree(const google::protobuf::Struct &tree, const google::protobuf::Descriptor &type,
                                        const std::string &prefix = {});
-/// The value at a path such as "entry.bodyLimitBytes"; null if absent.
+/// Returns the value at a path such as "entry.bodyLimitBytes", or nullptr if it is absent.
 const google::protobuf::Value *findValue(const google::protobuf::Struct &tree, std::string_view path);
 
 } // namespace anvilscale
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -1,4 +1,4 @@
-// Checks settings by the table of rules, fills in defaults, and prints both.
+// Validates settings against the rule table, fills in defaults, and prints both.
 #include "anvilscale/settings.h"
 
 #include "rules.h"
@@ -27,7 +27,7 @@
     const FieldDescriptor *field;
 };
 
-/// The field at a path, its parents made if they are not there.
+/// Returns the field at a path and creates missing parent messages.
 FieldPlace placeOf(Message &message, std::string_view path)
 {
     const auto dot = path.find('.');
@@ -140,7 +140,7 @@
     }
 }
 
-/// Takes "IP:PORT" apart, so that the rest of the daemon knows one form only.
+/// Splits `at` ("IP:PORT") into address and port, the only form that the daemon reads.
 void splitListen(settings::Listen &listen)
 {
     const auto colon = listen.at().rfind(':');
@@ -181,16 +181,16 @@
         return contradiction("timing.suspectMs", "less than three heartbeats: one lost message would be suspicion");
     }
     if (timing.lease_ms() == 0) {
-        return std::nullopt; // the direct path has no leases
+        return std::nullopt; // the direct path uses no leases
     }
-    // A keep-alive is sent every third of a lease. With a larger margin a holder would stop between two of them.
+    // Keep-alives are sent at every third of a lease; with a larger margin the holder would stop between two of them.
     if (timing.lease_margin_ms() * 2 > timing.lease_ms()) {
         return contradiction("timing.leaseMarginMs", "more than half of timing.leaseMs");
     }
     return std::nullopt;
 }
 
-// The other spans of the calls to the store are shares of the bound and rest on this one being no longer than its own.
+// The other delays of the store calls are fractions of the same bound and assume at most this share for the pause.
 std::optional<SettingsError> checkStorePause(const settings::Direct &direct)
 {
     constexpr std::uint32_t mostPercent = 45;
--- a/src/state/byte_arena.cpp
+++ b/src/state/byte_arena.cpp
@@ -1,4 +1,4 @@
-// Storage of the packed records: bytes in blocks, and texts that many records share.
+// Storage of packed records: an arena of byte blocks and a pool of shared strings.
 #include "record_table.h"
 
 #include <cstring>
@@ -7,10 +7,10 @@
 
 std::uint32_t ByteArena::add(std::string_view bytes)
 {
-    // A record that is larger than a block never comes: readRecord limits the text to half of one.
+    // Records always fit into a block: readRecord() limits their text to half of one.
     if (fill_ + bytes.size() > blockBytes) {
         blocks_.push_back(std::make_unique_for_overwrite<char[]>(blockBytes)); // NOLINT(*-avoid-c-arrays)
-        fill_ = blocks_.size() == 1 ? 2 : 0; // positions 0 and 1 have a meaning of their own in an index
+        fill_ = blocks_.size() == 1 ? 2 : 0; // positions 0 and 1 are reserved as index markers
     }
     std::memcpy(blocks_.back().get() + fill_, bytes.data(), bytes.size());
     const auto position = static_cast<std::uint32_t>(((blocks_.size() - 1) << blockBits) + fill_);
--- a/src/state/byte_codec.h
+++ b/src/state/byte_codec.h
@@ -1,4 +1,4 @@
-// The packed form's bytes: numbers of seven bits a byte, texts with their length before them.
+// Encoding of packed records: variable-length integers of 7 bits per byte, and length-prefixed strings.
 #pragma once
 
 #include <cstdint>
@@ -32,7 +32,7 @@
     std::string bytes_;
 };
 
-/// Reads what a ByteWriter of this process wrote.
+/// Decodes the output of a ByteWriter of this process. Input is trusted; bounds are not checked.
 class ByteReader
 {
 public:
--- a/src/state/config_reader.cpp
+++ b/src/state/config_reader.cpp
@@ -1,4 +1,4 @@
-// Reading of the configuration from the key-value service.
+// Reads the configuration from the key-value service.
 #include "config_reader.h"
 
 #include <cstdio>
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::uint64_t deltasPerRead = 64;
-// A store that lacks more than this reads the snapshot first, if there is one.
+// A store that is further behind reads the snapshot first, if there is one.
 constexpr std::uint64_t mostDeltas = 512;
 constexpr std::uint32_t mostHeadReads = 4;
 
@@ -121,7 +121,7 @@
 
 void ConfigReader::proceed(Now now)
 {
-    // Not equal: a stale read may name an older head than the one we are at. We stay where we are.
+    // A stale read may return a head older than this store; the store is never moved back.
     if (store_->revision() >= head_.head.revision()) {
         finish(head_, now);
     } else if (useSnapshot_) {
@@ -157,7 +157,7 @@
             return;
         }
     }
-    if (store_->revision() == before) { // compacted away since: the snapshot has them
+    if (store_->revision() == before) { // compacted since the head was read; a newer snapshot contains them
         useSnapshot_ = head_.head.snapshot_revision() > before;
         if (!useSnapshot_ && ++headReads_ > mostHeadReads) {
             finish(tl::unexpected(makeError(ConfigErrorKind::NotNext, "a delta is missing", before)), now);
@@ -175,7 +175,7 @@
 {
     config::Snapshot chunk;
     const bool found = !reply.entries.empty() && chunk.ParseFromString(reply.entries.front().value);
-    if (!found) { // a newer snapshot has replaced this one
+    if (!found) { // replaced by a newer snapshot
         if (++headReads_ > mostHeadReads) {
             finish(tl::unexpected(makeError(ConfigErrorKind::NotNext, "a chunk is missing", store_->revision())), now);
         } else {
--- a/src/state/config_reader.h
+++ b/src/state/config_reader.h
@@ -1,4 +1,4 @@
-// Brings a ConfigStore to the head in the key-value service: by deltas, or by a snapshot where it is too far behind.
+// Brings a ConfigStore to the head in the key-value service, by deltas or, if it is too far behind, by a snapshot.
 #pragma once
 
 #include "config.pb.h"
@@ -8,7 +8,7 @@
 
 namespace anvilscale {
 
-/// Keys of the configuration under a prefix.
+/// Builds the configuration's keys under a prefix.
 struct ConfigKeys
 {
     std::string prefix;
@@ -18,11 +18,11 @@
     std::string chunk(std::uint64_t revision, std::uint32_t chunk) const;
 };
 
-/// The head as it was read, with the revision of its key that a compare-and-swap names.
+/// Head record with the modification revision of its key, for compare-and-swap.
 struct HeadRead
 {
     config::Head head;
-    std::int64_t modRevision = 0; ///< 0: there is no head yet
+    std::int64_t modRevision = 0; ///< 0 if there is no head yet
 };
 
 class ConfigReader
@@ -32,7 +32,7 @@
 
     ConfigReader(std::string keyPrefix, ConfigStore *store, std::string_view part,
                  std::function<void(KvRequest)> submit, std::function<void(const Result &, Now)> done);
-    /// One read at a time; a second start is ignored.
+    /// Starts a read. Ignored while another one is running.
     void read(Now now);
     bool busy() const;
     bool onReply(const KvReply &reply, Now now);
@@ -63,7 +63,7 @@
     HeadRead head_;
     std::uint32_t chunk_ = 0;
     bool useSnapshot_ = false;
-    std::uint32_t headReads_ = 0; // of this read: what it names may be compacted away before it is read
+    std::uint32_t headReads_ = 0; // head reads of this run; referenced data may be compacted meanwhile
 };
 
 } // namespace anvilscale
--- a/src/state/config_spread.cpp
+++ b/src/state/config_spread.cpp
@@ -1,4 +1,5 @@
-// Spread of the configuration: a few watchers a data centre read the service, everybody else hears from peers.
+// Distribution of the configuration: a few watchers per data centre read the key-value service, all other processes
+// receive it from peers.
 #include "config_reader.h"
 #include "later_now.h"
 #include "wire.pb.h"
@@ -10,9 +11,9 @@
 
 constexpr Duration fetchTimeout = Seconds(2);
 constexpr Duration firstWait = Milliseconds(200);
-// A process that is no watcher asks the service itself only this many poll intervals after the last news.
+// Poll intervals without confirmation after which a process that is not a watcher reads the service itself.
 constexpr int lonelyPolls = 4;
-// A peer that was pushed to is given this many heartbeats to show the new revision before it is pushed to again.
+// Heartbeats that a peer has for reporting a pushed revision before it is pushed again.
 constexpr int pushHeartbeats = 3;
 
 } // namespace
@@ -32,19 +33,19 @@
     Random random;
     Backoff backoff;
     ConfigReader reader;
-    std::optional<LeaseKeeper> lease; // of one of the data centre's watchers
-    std::optional<KeyFollower> follower; // of the head, while the lease is held
+    std::optional<LeaseKeeper> lease; // one of the data centre's watcher leases
+    std::optional<KeyFollower> follower; // watches the head while the lease is held
     std::map<std::string, Peer> peers;
-    std::string fetchingFrom; // empty: no fetch is under way
-    std::uint64_t snapshotRevision = 0; // of the snapshot that is being fetched
+    std::string fetchingFrom; // empty if no fetch is in progress
+    std::uint64_t snapshotRevision = 0; // revision of the snapshot being fetched; 0 if none
     std::uint32_t nextChunk = 0;
-    std::uint64_t announced = 0; // revision of the last call of `changed`
+    std::uint64_t announced = 0; // revision at the last call of `changed`
     TimerHandle pollTimer;
     TimerHandle catchUpTimer;
     TimerHandle fetchTimer;
     TimerHandle pushTimer;
     TimerHandle staleTimer;
-    TimePoint confirmedAt; // last time the head was known to be ours
+    TimePoint confirmedAt; // last time the store was confirmed to be at the head
     bool confirmedOnce = false;
     bool isStale = false;
     Stats stats;
@@ -101,7 +102,7 @@
     return from;
 }
 
-/// Arms a timer unless it is armed.
+/// Starts the timer unless it is already running.
 void ConfigSpread::Impl::arm(TimerHandle &timer, Duration wait, Now now, void (Impl::*what)(Now))
 {
     if (timer) {
@@ -132,7 +133,7 @@
     impl_->arm(impl_->staleTimer, impl_->init.timing.configPoll, now, &Impl::checkStale);
 }
 
-/// Watchers look at the head besides their watch, so that a watch that has died unnoticed costs one poll interval.
+/// Watchers also poll the head, so that an undetected loss of the watch delays changes by at most one poll interval.
 void ConfigSpread::Impl::poll(Now now)
 {
     followHead(now);
@@ -167,7 +168,7 @@
     backoff.reset();
     const auto &head = result->head;
     if (head.revision() < init.store->revision()) {
-        return; // a stale read: it confirms nothing
+        return; // stale read, does not confirm the head
     }
     confirm(now.mono);
     if (head.revision() != 0 && head.digest() != init.store->digest()) {
@@ -185,7 +186,7 @@
     }
 }
 
-/// Tells of a store that has moved; to be called after whatever may have moved it.
+/// Reports an increased revision. Must be called after every operation that may have changed the store.
 void ConfigSpread::Impl::moved(Now now)
 {
     const std::uint64_t revision = init.store->revision();
@@ -195,7 +196,7 @@
     stats.applied += revision - announced;
     announced = revision;
     callbacks.changed(now);
-    // A watcher is the first to know and pushes at once. The others wait a little: most peers have it by then.
+    // Watchers receive changes first and push them at once. Others wait, since most peers have the change by then.
     if (lease && lease->state() == LeaseState::Held) {
         pushToPeers(now);
     } else {
@@ -216,7 +217,7 @@
         auto &push = *envelope.mutable_config_push();
         push = init.store->pushSince(peer.revision);
         if (push.deltas_size() == 0) {
-            continue; // so far behind that it has to fetch a snapshot, chunk by chunk
+            continue; // too far behind for deltas; it fetches a snapshot chunk by chunk
         }
         push.mutable_from()->set_name(init.self);
         push.mutable_from()->set_incarnation(init.incarnation);
@@ -227,7 +228,7 @@
     }
 }
 
-/// The head is watched only while the watcher's lease is held.
+/// Starts and stops the watch of the head, which runs only while the watcher lease is held.
 void ConfigSpread::Impl::followHead(Now now)
 {
     const bool isWatcher = lease && lease->state() == LeaseState::Held;
@@ -288,7 +289,7 @@
 
 void ConfigSpread::Impl::onFetchTimeout(Now now)
 {
-    peers.erase(fetchingFrom); // until it is heard again, another peer or the service is asked
+    peers.erase(fetchingFrom); // use another peer or the service until this peer sends again
     endFetch();
     catchUp(now);
 }
@@ -316,7 +317,7 @@
             return;
         }
         if (delta.revision() <= init.store->revision()) {
-            continue; // doubled or late
+            continue; // duplicate or late
         }
         const auto applied = init.store->apply(delta);
         if (applied) {
@@ -334,7 +335,7 @@
 void ConfigSpread::Impl::takeChunk(const wire::ConfigPush &push, Now now)
 {
     config::Snapshot chunk;
-    // A chunk that was not asked for, or comes twice, would break the one that is being put together.
+    // An unrequested or duplicate chunk would corrupt the snapshot being assembled.
     const bool asked = fetchingFrom == push.from().name() && chunk.ParseFromString(push.snapshot())
                        && (chunk.chunk() == 0 || (chunk.revision() == snapshotRevision && chunk.chunk() == nextChunk));
     if (!asked) {
--- a/src/state/config_store.cpp
+++ b/src/state/config_store.cpp
@@ -1,4 +1,4 @@
-// The configuration at one revision. Every change is checked whole before any of it is taken.
+// Configuration at one revision. A change set is validated completely before any part of it is applied.
 #include "record_table.h"
 #include "wire.pb.h"
 
@@ -8,18 +8,18 @@
 namespace anvilscale {
 namespace {
 
-// Deltas kept for peers that are a little behind; one further back fetches a snapshot.
+// Deltas cached for peers that are slightly behind; peers further behind fetch a snapshot.
 constexpr std::size_t mostKeptDeltas = 512;
 constexpr std::size_t mostKeptDeltaBytes = 1U << 20;
-// A push carries at most this many bytes of deltas.
+// Bytes of deltas after which a push ends.
 constexpr std::size_t largestPush = 256U << 10;
-// Bytes of a record in a snapshot besides its name and text, rounded up.
+// Upper bound of a record's bytes in a snapshot besides its name and text.
 constexpr std::size_t recordOverhead = 32;
 
-/// A change that has been read and not yet taken.
+/// A parsed change that is not yet applied.
 struct ReadChange
 {
-    std::optional<RecordForm> form; ///< empty: removed
+    std::optional<RecordForm> form; ///< nullopt if the record is removed
     RecordKind kind = RecordKind::Adapter;
     std::string name;
     std::string json;
@@ -70,7 +70,7 @@
     return all;
 }
 
-/// What the configuration would be after some changes, without making them.
+/// The configuration as it would be after some changes, without applying them.
 class Preview
 {
 public:
@@ -100,7 +100,7 @@
 
 private:
     const RecordTable &table_;
-    std::map<std::pair<RecordKind, std::string>, const ReadChange *> changed_; // the last change of each record
+    std::map<std::pair<RecordKind, std::string>, const ReadChange *> changed_; // last change of each record
 };
 
 bool hasVersion(const std::optional<RecordForm> &adapter, std::string_view version)
@@ -110,7 +110,7 @@
            });
 }
 
-/// A route without its adapter would turn its callers away: it is refused before it is accepted.
+/// Rejects routes to missing adapters or versions, whose calls would all be refused.
 std::optional<ConfigError> checkRouteTarget(const Preview &preview, const RecordForm &route)
 {
     const auto adapter = preview.find(RecordKind::Adapter, route.adapter);
@@ -127,7 +127,7 @@
     return std::nullopt;
 }
 
-/// Whether a route that named the version still does after the changes.
+/// Returns true if a route that refers to the version still does so after the changes.
 bool isStillNamed(const RecordTable &table, const Preview &preview, const std::string &adapter,
                   const std::string &version)
 {
@@ -138,7 +138,7 @@
     });
 }
 
-/// Another number of slots would give a key another owner, which does not know that it was seen: it would run again.
+/// Rejects a changed slot count: keys would move to owners that have not seen them, so they could run again.
 std::optional<ConfigError> checkSlotsKept(const RecordTable &table, const RecordForm &service)
 {
     const auto before = table.find(RecordKind::Service, service.name);
@@ -171,10 +171,10 @@
 {
     RecordTable table;
     std::uint64_t revision = 0;
-    std::deque<std::string> kept; // serialized deltas; the last one made `revision`
+    std::deque<std::string> kept; // serialized deltas; the last one leads to `revision`
     std::size_t keptBytes = 0;
 
-    std::unique_ptr<RecordTable> staged; // chunks of a snapshot that is not yet whole
+    std::unique_ptr<RecordTable> staged; // chunks of an incomplete snapshot
     std::uint64_t stagedRevision = 0;
     std::uint32_t stagedChunks = 0;
 
@@ -426,7 +426,7 @@
         }
         return push;
     }
-    // A chunk of another revision is of no use to a peer that has begun with one: it begins again.
+    // A peer that started with a snapshot of another revision has to start again with the first chunk.
     const std::uint32_t wanted = snapshotRevision == revision() && part < impl_->table.parts() ? part : 0;
     config::Snapshot chunk;
     chunk.set_revision(revision());
--- a/src/state/config_writer.cpp
+++ b/src/state/config_writer.cpp
@@ -1,4 +1,4 @@
-// Appends changes by compare-and-swap, and keeps the kept history short.
+// Appends changes by compare-and-swap and compacts the stored history.
 #include "config_reader.h"
 #include "later_now.h"
 #include "record.h"
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::uint32_t mostAttempts = 4;
-constexpr std::size_t deletesPerTxn = 100; // the service limits the operations of one transaction
+constexpr std::size_t deletesPerTxn = 100; // limit of the service on operations per transaction
 constexpr std::size_t largestDelta = 900'000;
 constexpr Duration firstWait = Milliseconds(100);
 constexpr Duration longestWait = Seconds(2);
@@ -25,9 +25,9 @@
         Idle,
         Reading, ///< bringing the store to the head
         Writing,
-        ReadingBack, ///< whether a delta carries our change id
+        ReadingBack, ///< checking whether the stored delta carries our change id
         WritingChunk,
-        MovingHead, ///< to name the new snapshot
+        MovingHead, ///< updating the head to refer to the new snapshot
         Dropping,
     };
 
@@ -46,9 +46,9 @@
     TimerHandle timer;
     std::uint32_t attempts = 0;
     bool ambiguous = false; // a write without a reply may have taken effect
-    bool overtaken = false; // another writer was first; the head is read only to tell its revision
+    bool overtaken = false; // another writer was first; the head is read only to report its revision
     std::optional<std::uint64_t> expected;
-    config::Delta delta; // revision 0: not yet built on a head
+    config::Delta delta; // revision 0 until it is based on a head
     HeadRead head;
     std::vector<config::Snapshot> chunks;
     std::size_t nextChunk = 0;
@@ -116,7 +116,7 @@
 
 void ConfigWriter::Impl::fail(ConfigErrorKind kind, const char *detail, Now now)
 {
-    // Once a write went out without a reply, nothing but reading it back can say that it had no effect.
+    // After a write without a reply, only reading it back can prove that it had no effect.
     const auto told = ambiguous ? ConfigErrorKind::OutcomeUnknown : kind;
     finish(tl::unexpected(makeError(told, detail, init.store->revision())), now);
 }
@@ -158,7 +158,7 @@
     }
     head = *result;
     const std::uint64_t revision = head.head.revision();
-    if (revision != init.store->revision()) { // a stale read
+    if (revision != init.store->revision()) { // stale read
         again(Step::Reading, now);
         return;
     }
@@ -176,7 +176,7 @@
             return;
         }
     } else if (delta.revision() != revision + 1) {
-        step = Step::ReadingBack; // somebody made the revision that we wanted to make: perhaps we did
+        step = Step::ReadingBack; // our revision exists already, possibly by our own write
         proceed(now);
         return;
     }
@@ -190,7 +190,7 @@
         if (!form) {
             return form.error();
         }
-        // A process that cannot read the record would stay at the revision before it, for as long as it lives.
+        // A process that cannot read the record would stay at the previous revision until it is upgraded.
         if (init.schemaVersionOfAll != 0 && !change.removed() && form->schemaVersion > init.schemaVersionOfAll) {
             return ConfigError{ConfigErrorKind::UnknownSchemaVersion, change.kind() + "/" + change.name(),
                                "a live process reads only up to version " + std::to_string(init.schemaVersionOfAll),
@@ -264,8 +264,8 @@
     }
     config::Delta found;
     if (reply.entries.empty() || !found.ParseFromString(reply.entries.front().value)) {
-        // Not there, and perhaps still under way. The same compare-and-swap again is safe: only one of the two can
-        // take effect, and both carry one change id.
+        // Not stored, or still in flight. Repeating the compare-and-swap is safe: only one of the two can take effect,
+        // and both carry the same change id.
         again(Step::Reading, now);
         return;
     }
@@ -273,7 +273,7 @@
         succeed(now);
         return;
     }
-    ambiguous = false; // the revision is taken by another change, for good
+    ambiguous = false; // the revision belongs to another change, permanently
     overtaken = true;
     again(Step::Reading, now);
 }
@@ -281,7 +281,7 @@
 void ConfigWriter::Impl::succeed(Now now)
 {
     if (init.store->revision() + 1 == delta.revision()) {
-        // It was checked on this very revision; a failure would show with the next read.
+        // The delta was validated at this revision; a failure would show at the next read.
         (void)init.store->apply(delta);
     }
     finish(delta.revision(), now);
@@ -299,8 +299,8 @@
     writeChunk();
 }
 
-/// Chunks of a snapshot that is never named by the head are harmless, so their writes need no reading back: the same
-/// revision always has the same chunks.
+/// Writes need no read-back: chunks of a revision are always identical, and chunks without a head that refers to them
+/// are harmless.
 void ConfigWriter::Impl::writeChunk()
 {
     KvRequest request;
@@ -322,7 +322,8 @@
     send(Step::MovingHead, std::move(request));
 }
 
-/// Deltas since the snapshot before are kept for processes that are a little behind.
+/// Lists the old snapshot and the deltas before it for deletion. Newer deltas are kept for processes that are slightly
+/// behind.
 void ConfigWriter::Impl::listDrops(const config::Head &before)
 {
     drops.clear();
@@ -354,7 +355,7 @@
 void ConfigWriter::Impl::onCompactionReply(const KvReply &reply, Now now)
 {
     if (reply.status != KvStatus::Ok) {
-        // Left for the next compaction. A head that moved, moved to a newer revision or to this very snapshot.
+        // The next compaction retries. If the head has changed, it moved to a newer revision or to this snapshot.
         finish(head.head.revision(), now);
         return;
     }
--- a/src/state/idempotency_key.cpp
+++ b/src/state/idempotency_key.cpp
@@ -1,4 +1,4 @@
-// Idempotency keys: UUIDv7 (RFC 9562), whose first 48 bits are the milliseconds since 1970 at which it was made.
+// Idempotency keys: UUIDv7 (RFC 9562), whose first 48 bits are the creation time in milliseconds since 1970.
 #include "anvilscale/state.h"
 
 namespace anvilscale {
@@ -24,7 +24,7 @@
     return at == dashes[0] || at == dashes[1] || at == dashes[2] || at == dashes[3];
 }
 
-/// The low `digits` hex digits of `value`, the highest first.
+/// Appends the low `digits` hex digits of `value`, most significant first.
 void appendHex(std::string &out, std::uint64_t value, unsigned digits)
 {
     for (unsigned i = digits; i-- > 0;) {
@@ -81,7 +81,7 @@
 
 std::uint32_t slotOf(std::string_view key, std::uint32_t slots)
 {
-    // Two spellings of one UUID are one key: letters count in lower case.
+    // UUIDs are case-insensitive: upper and lower case must map to the same slot.
     std::string lower(key);
     for (char &c : lower) {
         c = c >= 'A' && c <= 'F' ? static_cast<char>(c - 'A' + 'a') : c;
--- a/src/state/key_follower.cpp
+++ b/src/state/key_follower.cpp
@@ -1,4 +1,4 @@
-// Follows keys by a full read and a watch, without a gap between the two.
+// Watches keys by a full read followed by a watch from the next revision, so that no change is missed.
 #include "kv_ids.h"
 
 #include "anvilscale/state.h"
@@ -22,7 +22,7 @@
     KvHandle reading;
     KvHandle watch;
     TimerHandle timer;
-    std::int64_t seenRevision = 0; // all changes up to this one were given to `changed`
+    std::int64_t seenRevision = 0; // all changes up to this one were passed to `changed`
     bool mustRead = true;
     bool stands = false;
     std::optional<TimePoint> lastAnswer;
@@ -87,7 +87,7 @@
 void KeyFollower::Impl::onRead(const KvReply &reply, Now now)
 {
     reading = {};
-    // A read that is older than what the watch has shown comes from a stale replica: taking it would go back.
+    // A read older than the last watch event comes from a stale replica and would revert changes.
     if (reply.status != KvStatus::Ok || reply.storeRevision < seenRevision) {
         again(now);
         return;
--- a/src/state/kv_ids.h
+++ b/src/state/kv_ids.h
@@ -1,4 +1,4 @@
-// Numbers of requests to the key-value service, and the waits between them.
+// Request ids and backoff for the key-value service.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -7,7 +7,7 @@
 
 namespace anvilscale {
 
-/// Numbers that two parts of a process do not share: the upper half comes from the part's name.
+/// Generates request ids that are unique within a process: the upper half is a hash of the component's name.
 class KvIds
 {
 public:
@@ -25,8 +25,8 @@
     std::uint32_t last_ = 0;
 };
 
-/// Waits that double up to a limit, with jitter: after an outage the processes come back spread over the limit
-/// instead of all at once, which would take the service down again.
+/// Exponential backoff with jitter. Spreads the retries of many processes after an outage, which could otherwise
+/// overload the service again.
 class Backoff
 {
 public:
--- a/src/state/later_now.h
+++ b/src/state/later_now.h
@@ -1,12 +1,12 @@
-// The time that a timer's callback is given.
+// Derives the current time in timer callbacks.
 #pragma once
 
 #include "anvilscale/base.h"
 
 namespace anvilscale {
 
-/// `armed` moved on to `at`. The wall clock is taken to have gone on evenly: good for logs and waits, while whatever
-/// the proof of at-most-once rests on uses a wall time that was read for a reply.
+/// Advances `armed` to `at`. The wall clock is extrapolated, which is sufficient for logs and delays; the at-most-once
+/// guarantee uses only wall times that were read for a reply.
 inline Now laterNow(Now armed, TimePoint at)
 {
     const auto passed = std::chrono::duration_cast<Milliseconds>(at - armed.mono).count();
--- a/src/state/lease_keeper.cpp
+++ b/src/state/lease_keeper.cpp
@@ -1,5 +1,5 @@
-// One key under a lease. The fencing number is the key's modification revision: the service gives it, it grows with
-// every take-over, and a keep-alive does not change it.
+// Holds one key under a lease. The fencing number is the key's modification revision: it increases with every
+// acquisition and does not change on a keep-alive.
 #include "config.pb.h"
 #include "kv_ids.h"
 #include "later_now.h"
@@ -18,10 +18,10 @@
 {
     enum class Step : std::uint8_t {
         Idle,
-        Reading, ///< who holds the key
+        Reading, ///< reading the current holder
         Granting,
         Writing,
-        ReadingBack, ///< the write's reply was lost
+        ReadingBack, ///< the reply to the write was lost
         KeepingAlive,
     };
 
@@ -33,12 +33,12 @@
 
     bool wanted = false;
     Step step = Step::Idle;
-    KvHandle pending; // the one request under way
+    KvHandle pending; // the only request in flight
     TimerHandle timer;
     LeaseState state = LeaseState::None;
     std::uint64_t lease = 0;
-    std::uint64_t fence = 0; // not 0 exactly while the key was last known to be ours
-    TimePoint countedFrom; // just before the send of the last request that prolonged the lease
+    std::uint64_t fence = 0; // 0 unless the key was last known to be ours
+    TimePoint countedFrom; // send time of the last request that extended the lease
     TimePoint sentAt;
     Duration ttl{};
 
@@ -182,7 +182,7 @@
         later(backoff.next(random), now);
         return;
     }
-    if (entryIn(reply) != nullptr) { // held by another: look again within its lease
+    if (entryIn(reply) != nullptr) { // held by another process; check again within its lease
         step = Step::Idle;
         state = LeaseState::None;
         later(random.jitter(init.timing.lease), now);
@@ -194,7 +194,7 @@
 
 void LeaseKeeper::Impl::onGranted(const KvReply &reply, Now now)
 {
-    // A grant whose reply was lost ends by itself: nothing hangs on it.
+    // A lease whose grant reply was lost expires by itself; no key is attached to it.
     if (reply.status != KvStatus::Ok || reply.lease == 0) {
         giveUp(LeaseState::None, now);
         return;
@@ -210,7 +210,8 @@
     if (reply.status == KvStatus::Ok) {
         hold(static_cast<std::uint64_t>(reply.storeRevision), now);
     } else if (reply.status == KvStatus::Unknown) {
-        // Written again blindly it could meet its own first effect, and we would take ourselves for another holder.
+        // A repeated write could conflict with its own first effect, and this process would treat itself as another
+        // holder.
         read(Step::ReadingBack, now);
     } else {
         giveUp(LeaseState::None, now);
@@ -228,7 +229,7 @@
         }
         return;
     }
-    // The lease's number is the unique id of this acquisition: no other write carries it.
+    // The lease id identifies this acquisition: no other write carries it.
     const KvEntry *entry = entryIn(reply);
     if (entry != nullptr && entry->lease == lease) {
         hold(static_cast<std::uint64_t>(entry->modRevision), now);
@@ -263,7 +264,7 @@
     impl_->wanted = false;
     impl_->init.timers->cancel(impl_->timer);
     impl_->state = LeaseState::None;
-    impl_->fence = 0; // before the revocation is sent: nothing is done under a lease that may be gone
+    impl_->fence = 0; // cleared before the revocation is sent, so nothing is done under a revoked lease
     if (impl_->lease == 0) {
         return;
     }
@@ -306,8 +307,8 @@
 
 bool LeaseKeeper::mayAct(TimePoint now) const
 {
-    // Counted from before the send, the lease ends here no later than at the service. A holder that was paused
-    // wakes to find itself past this time, whatever it had checked before.
+    // Counted from before the send, the lease expires here no later than at the service. A holder that was paused is
+    // past this time when it resumes, whatever it had checked before.
     if (!impl_->init.safeguards.leaseClock) {
         return impl_->state == LeaseState::Held;
     }
--- a/src/state/membership.cpp
+++ b/src/state/membership.cpp
@@ -1,4 +1,5 @@
-// Who is there. Direct heartbeats go before the lagging list, but leaving is final for an incarnation.
+// Membership from direct heartbeats and the VM list. Heartbeats take precedence over the lagging list, but leaving is
+// final for an incarnation.
 #include "later_now.h"
 #include "wire.pb.h"
 
@@ -10,11 +11,11 @@
 namespace anvilscale {
 namespace {
 
-// A member that the list has dropped and that is silent is gone after this many suspect times.
+// Multiple of the suspect time after which a silent member that is no longer listed is removed.
 constexpr int goneAfterSuspects = 4;
-// A member that was suspected again and again must be heard this many times more before it gets new work.
+// Upper bound of additional heartbeats that a repeatedly suspected member must send before it gets new work.
 constexpr std::uint32_t mostExtraHeartbeats = 4;
-// A member that was steady for this many suspect times is trusted as at first.
+// Multiple of the suspect time without suspicion after which earlier suspicions are discarded.
 constexpr int steadySuspects = 20;
 
 } // namespace
@@ -24,16 +25,16 @@
     struct Known
     {
         Member member;
-        std::optional<TimePoint> heardAt; // last heartbeat of this incarnation
-        TimePoint listedAt; // last time the list held it
+        std::optional<TimePoint> heardAt; // time of the last heartbeat of this incarnation
+        TimePoint listedAt; // time of the last list that contained it
         bool listed = false;
-        bool listLeaving = false; // the list says that a VM of this name is leaving
-        bool listedLive = false; // the list has shown it live since this incarnation was heard
-        std::uint32_t suspicions = 0; // lately
+        bool listLeaving = false; // the list marks the VM of this name as leaving
+        bool listedLive = false; // the list has shown it live since the first heartbeat of this incarnation
+        std::uint32_t suspicions = 0; // recent suspicions
         std::uint32_t heardSinceSuspect = 0;
         TimePoint suspectedAt;
-        std::uint64_t refusedIncarnation = 0; // this incarnation and all before are Leaving or Gone
-        std::uint32_t schemaVersion = 0; // 0: not told yet
+        std::uint64_t refusedIncarnation = 0; // this and all earlier incarnations are Leaving or Gone
+        std::uint32_t schemaVersion = 0; // 0 until reported
     };
 
     Init init;
@@ -86,7 +87,7 @@
     return it->second;
 }
 
-/// One timer for all: suspicion is a matter of seconds, so it is looked at every half of its time.
+/// Starts the shared timer, which checks all members at half the suspect time.
 void Membership::Impl::arm(Now now)
 {
     if (timer || init.timers == nullptr) {
@@ -101,8 +102,9 @@
     });
 }
 
-/// The list lags, and names a VM but no incarnation: "leaving" may be said of the VM that had the name before. So it
-/// is final only for a start that the list has shown live; another one just gets no new work while the list says so.
+/// The list lags and has no incarnations: "leaving" may refer to the previous VM of the same name. It is therefore
+/// final only for an incarnation that the list has shown live; any other one gets no new work while it is listed as
+/// leaving.
 void Membership::Impl::onListedLeaving(Known &entry)
 {
     const bool heard = entry.member.incarnation != 0;
@@ -124,7 +126,8 @@
 
 void Membership::Impl::check(Now now)
 {
-    // This process was paused: the heartbeats of that time are still unread, so its length is no silence of others.
+    // This process was paused and has not yet read the heartbeats of that time, so the pause is not counted as silence
+    // of others.
     const Duration late = now.mono - checkDue;
     if (late >= init.timing.suspect / 2) {
         for (auto &[name, entry] : known) {
@@ -148,7 +151,7 @@
             forgotten.push_back(name);
         }
     }
-    // Names of VMs are not used again soon; without this the map would grow with every replaced VM.
+    // Without removal the map would grow with every replaced VM.
     for (const auto &name : forgotten) {
         known.erase(name);
     }
@@ -190,7 +193,7 @@
     auto &entry = impl_->entryOf(heartbeat.from().name());
     Member &member = entry.member;
     const auto incarnation = heartbeat.from().incarnation();
-    // A heartbeat of an earlier start, late on its way, must not bring back what that start held.
+    // A late heartbeat of an earlier incarnation must not restore its state.
     if (incarnation < member.incarnation) {
         return;
     }
@@ -214,11 +217,11 @@
     impl_->heard(entry, restarted, now);
 }
 
-/// A sign of life of the present start, which is neither leaving nor gone.
+/// Records a heartbeat of the current incarnation, which is neither leaving nor gone.
 void Membership::Impl::heard(Known &entry, bool restarted, Now now)
 {
     if (entry.heardAt && now.mono - *entry.heardAt >= init.timing.suspect) {
-        entry.heardSinceSuspect = 0; // not steady yet
+        entry.heardSinceSuspect = 0; // the gap restarts the count
     }
     entry.heardAt = now.mono;
     arm(now);
@@ -228,12 +231,12 @@
     }
     if (entry.member.state == MemberState::Live) {
         if (restarted) {
-            changed(entry.member); // the same state, but of another start
+            changed(entry.member); // same state, new incarnation
         }
         return;
     }
-    // A member on the edge of the suspect time would change state with every second heartbeat, and each change moves
-    // calls about: it has to show itself steady first.
+    // Prevents flapping: each state change moves calls, so a suspected member must send several heartbeats in time
+    // first.
     ++entry.heardSinceSuspect;
     if (restarted || entry.heardSinceSuspect >= entry.suspicions) {
         move(entry, MemberState::Live);
@@ -259,7 +262,7 @@
     impl_->arm(now);
     const auto incarnation = order.target().incarnation();
     entry.refusedIncarnation = std::max(entry.refusedIncarnation, incarnation);
-    // An order without an incarnation is meant for the start that is known now.
+    // An order without an incarnation applies to the current one.
     if (incarnation == 0 || incarnation >= entry.member.incarnation) {
         entry.member.incarnation = std::max(entry.member.incarnation, incarnation);
         impl_->move(entry, MemberState::Leaving);
@@ -272,7 +275,8 @@
     if (found == impl_->known.end()) {
         return;
     }
-    // One broken connection is no proof of a dead process: no new work until the next heartbeat, nothing more.
+    // A broken connection does not prove that the process has failed, so it only gets no new work until the next
+    // heartbeat.
     if (found->second.member.state == MemberState::Live) {
         impl_->suspect(found->second, now);
     }
--- a/src/state/record.cpp
+++ b/src/state/record.cpp
@@ -1,5 +1,5 @@
-// Reads configuration records. protobuf's JSON reader refuses unknown fields; its messages become typed errors with
-// the path of the field.
+// Parses and validates configuration records. Errors of protobuf's JSON parser, including unknown fields, are mapped to
+// typed errors with the field's path.
 #include "record.h"
 
 #include <google/protobuf/struct.pb.h>
@@ -26,7 +26,7 @@
     return ConfigError{kind, std::move(path), std::move(detail), 0};
 }
 
-/// protobuf reports "(path.of.parent) field: Cannot find field." or "(path): invalid value ...".
+/// Maps protobuf messages of the form "(path.of.parent) field: Cannot find field." or "(path): invalid value ...".
 ConfigError fromReader(std::string_view message)
 {
     std::string path;
@@ -58,7 +58,7 @@
     return record;
 }
 
-/// The schema version that a text names, whatever else stands in it.
+/// Returns the schema version of a record; its other fields are not checked.
 tl::expected<std::uint32_t, ConfigError> schemaVersionOf(std::string_view json)
 {
     const auto any = readJson<google::protobuf::Struct>(json);
@@ -80,7 +80,7 @@
            && std::none_of(text.begin(), text.end(), [](unsigned char c) { return c < 0x20 || c == 0x7f; });
 }
 
-/// Collects the first fault of a record.
+/// Records the first error of a record.
 class Checker
 {
 public:
@@ -254,7 +254,7 @@
     }
 }
 
-/// A number that is not given (zero) keeps the default, but for weights and limits where zero has a meaning.
+/// Zero means "not set" and keeps the default, except for fields in which zero is a valid value.
 void readPolicy(Checker &check, const config::PolicyV2 &policy, RecordForm &form)
 {
     Policy &to = form.policy;
@@ -343,13 +343,13 @@
     if (service.idempotent) {
         return {};
     }
-    // A key accepted by the former owner is stamped up to one skew ahead of that owner's clock, which may be one
-    // skew ahead of the new owner's. With a smaller margin the new owner would run such a key a second time.
+    // The previous owner accepts stamps up to one skew ahead of its clock, which may be one skew ahead of the new
+    // owner's clock. With a smaller margin the new owner could run such a key again.
     if (service.margin < 2 * service.skew) {
         return tl::unexpected(
             makeError(ConfigErrorKind::OutOfRange, path + ".marginMs", "must be at least twice skewMs"));
     }
-    // Within a window that is not longer than margin and skews, every key would be refused after a take-over.
+    // With a shorter window every key would be refused after a takeover.
     if (service.window <= service.margin + 2 * service.skew) {
         return tl::unexpected(
             makeError(ConfigErrorKind::OutOfRange, path + ".windowS", "must exceed marginMs and twice skewMs"));
@@ -397,7 +397,7 @@
     config::Change change;
     change.set_kind(std::string(toString(form->kind)));
     change.set_name(form->name);
-    // Spaces and order are the only things that the canonical text drops: the reader refused all unknown fields.
+    // The canonical text loses only whitespace and field order: the parser has rejected unknown fields.
     change.set_json(hasCanonicalText(form->kind) ? writeRecord(*form) : std::string(json));
     return change;
 }
--- a/src/state/record.h
+++ b/src/state/record.h
@@ -1,4 +1,4 @@
-// One configuration record in the internal form that both schema versions map to.
+// Internal form of a configuration record, common to both schema versions.
 #pragma once
 
 #include "config.pb.h"
@@ -23,10 +23,10 @@
 struct VersionForm
 {
     std::string name;
-    std::string weights; ///< version 1 of the schema: "{version}" stands for the version's name
+    std::string weights; ///< in schema version 1, "{version}" stands for the version's name
 };
 
-/// Only the fields of `kind` are used.
+/// Parsed record; only the fields of its `kind` are used.
 struct RecordForm
 {
     std::uint32_t schemaVersion = newestSchemaVersion;
@@ -37,22 +37,22 @@
     std::string adapter;
     std::string version;
     std::string nextVersion;
-    std::uint32_t deadlineMs = 0; ///< 0: the policy's default
-    std::optional<CallClass> callClass; ///< as written; Normal if not
+    std::uint32_t deadlineMs = 0; ///< 0 for the policy's default
+    std::optional<CallClass> callClass; ///< nullopt if not written, which means Normal
     ServiceView service;
     Policy policy;
 };
 
-/// Reads and checks a record of any schema version that this build knows.
+/// Parses and validates a record of any supported schema version.
 tl::expected<RecordForm, ConfigError> readRecord(std::string_view json);
-/// The one text that an adapter or route is written as; readRecord of it gives the same form.
+/// Returns the canonical text of an adapter or route. readRecord() of it returns the same form.
 std::string writeRecord(const RecordForm &form);
-/// Whether writeRecord can give back all of a record of this kind.
+/// Returns true if writeRecord() reproduces all fields of records of this kind.
 constexpr bool hasCanonicalText(RecordKind kind)
 {
     return kind == RecordKind::Adapter || kind == RecordKind::Route;
 }
-/// Margins that the proof of at-most-once needs (docs/design/at-most-once.md).
+/// Checks the margins required by the at-most-once guarantee (docs/design/at-most-once.md).
 tl::expected<void, ConfigError> checkService(const std::string &path, const ServiceView &service);
 
 } // namespace anvilscale
--- a/src/state/record_table.cpp
+++ b/src/state/record_table.cpp
@@ -1,4 +1,4 @@
-// Packing of records, and the index over them.
+// Packed records and the hash index over them.
 #include "record_table.h"
 
 #include "byte_codec.h"
@@ -8,16 +8,16 @@
 namespace anvilscale {
 namespace {
 
-// Stand-ins within a shared form of a weight path. readRecord lets no control character in.
+// Placeholders in shared templates of weight paths. Record texts contain no control characters, so they cannot collide.
 constexpr char adapterMark = '\x01';
 constexpr char versionMark = '\x02';
 constexpr std::string_view versionField = "{version}";
 constexpr std::size_t fewestWastedBytes = 256U << 10;
-// The index is made larger, or cleared of removed entries, when it is fuller than 3/4.
+// The index is rebuilt when more than 3/4 of it is occupied: enlarged, or only cleared of removed entries.
 constexpr std::size_t fullestNumerator = 4;
 constexpr std::size_t fullestDenominator = 3;
 
-// First byte of a packed record.
+// Bits of a packed record's first number.
 constexpr std::uint64_t routeBit = 1;
 constexpr std::uint64_t rawBit = 2;
 constexpr std::uint64_t schemaShift = 2;
@@ -36,7 +36,8 @@
     }
 }
 
-/// The form of a weight path that adapters share. Whatever is replaced can be put back exactly.
+/// Replaces adapter and version names in a weight path by placeholders, so that adapters can share the template.
+/// putBack() restores the path exactly.
 std::string shareable(std::string_view weights, std::string_view adapter, std::string_view version)
 {
     const std::string withoutAdapter = replaceAll(weights, adapter, std::string(1, adapterMark));
@@ -202,8 +203,8 @@
     }
 }
 
-/// Replaced and removed records leave holes; without this a process under thousands of changes a day would grow
-/// without limit.
+/// Copies the live records to a new arena. Without it, replaced and removed records would make memory grow without
+/// limit.
 void RecordTable::compactIfWasteful()
 {
     if (wasted_ < fewestWastedBytes || wasted_ * 2 < arena_.used()) {
--- a/src/state/record_table.h
+++ b/src/state/record_table.h
@@ -1,4 +1,4 @@
-// All records of one revision, packed: tens of thousands of adapters and routes take some fifty bytes each.
+// Packed storage of all records of one revision, about fifty bytes per adapter or route.
 #pragma once
 
 #include "record.h"
@@ -14,16 +14,17 @@
 class ByteReader;
 class ByteWriter;
 
-/// Bytes in blocks, so that growth copies nothing. A position stays valid until the arena is destroyed.
+/// Append-only byte storage in fixed blocks, so that growth copies nothing. Positions stay valid until the arena is
+/// destroyed.
 class ByteArena
 {
 public:
-    /// Copies `bytes` to one contiguous place. Position 0 is never given.
+    /// Copies `bytes` into contiguous storage and returns their position. Never returns position 0.
     std::uint32_t add(std::string_view bytes);
     const char *at(std::uint32_t position) const;
-    /// Bytes handed out.
+    /// Bytes stored.
     std::size_t used() const;
-    /// Bytes taken from the system.
+    /// Bytes allocated.
     std::size_t capacity() const;
 
 private:
@@ -31,15 +32,16 @@
     static constexpr std::size_t blockBytes = std::size_t(1) << blockBits;
 
     std::vector<std::unique_ptr<char[]>> blocks_; // NOLINT(*-avoid-c-arrays): one allocation without a header
-    std::size_t fill_ = blockBytes; // bytes used of the last block
+    std::size_t fill_ = blockBytes; // bytes used in the last block
     std::size_t used_ = 0;
 };
 
-/// Texts that many records share (base models, forms of weight paths). Views stay valid as long as the pool.
+/// Interned strings that many records share (base models, templates of weight paths). Views stay valid as long as the
+/// pool.
 class TextPool
 {
 public:
-    /// Number of the text, 0 if the pool is full. `always`: the limit does not hold.
+    /// Returns the number of the text, or 0 if the pool is full. `always` overrides the limit.
     std::uint32_t add(std::string_view text, bool always);
     std::string_view at(std::uint32_t number) const;
 
@@ -50,35 +52,35 @@
     std::unordered_map<std::string_view, std::uint32_t> numbers_;
 };
 
-/// Records by kind and name. Invariants: one record for each (kind, name); digest() is the sum over the records'
-/// hashes, so it does not depend on the order in which they came.
+/// Records by kind and name. Invariants: one record for each (kind, name); digest() is the sum of the records' hashes
+/// and thus independent of their order.
 class RecordTable
 {
 public:
-    /// Adds or replaces.
+    /// Adds or replaces a record.
     void put(const RecordForm &form, std::string_view json);
     bool remove(RecordKind kind, std::string_view name);
     std::optional<RecordForm> find(RecordKind kind, std::string_view name) const;
-    /// Text of a record as it was written.
+    /// Returns a record's text as written.
     std::optional<std::string> text(RecordKind kind, std::string_view name) const;
-    /// Text of the base model of an adapter; empty if there is none. Valid until the next compaction.
+    /// Returns the base model of an adapter, or an empty view if there is none. Valid until the next compaction.
     std::string_view baseModel(std::string_view adapter) const;
     const std::map<std::string, std::pair<RecordForm, std::string>, std::less<>> &services() const; ///< with texts
     const Policy &policy() const;
 
     std::uint64_t digest() const;
     std::size_t count(RecordKind kind) const;
-    /// Memory held, for the slopes.
+    /// Allocated memory in bytes.
     std::size_t bytes() const;
 
     /// Calls `visit(form, json)` for every record: services, policy, then adapters and routes by name.
     template<class Visit>
     void forEach(Visit visit) const;
-    /// Routes that name the version now or next. Looks at all records.
+    /// Returns the routes that refer to the version, now or next. Scans all records.
     std::vector<std::string> routesNaming(std::string_view adapter, std::string_view version) const;
-    /// Number of parts that forEachInPart divides the records into.
+    /// Number of parts of forEachInPart().
     std::uint32_t parts() const;
-    /// Like forEach, for one part of the records, without sorting them all.
+    /// Like forEach(), for one part of the records and unsorted.
     template<class Visit>
     void forEachInPart(std::uint32_t part, Visit visit) const;
 
@@ -91,7 +93,7 @@
     struct Packed
     {
         RecordForm form;
-        std::optional<std::string> raw; // kept only where writeRecord gives another text
+        std::optional<std::string> raw; // kept only if it differs from writeRecord()
     };
     struct Name
     {
@@ -105,7 +107,7 @@
     std::size_t packedSize(std::uint32_t position) const;
     Name nameAt(std::uint32_t position) const;
     std::string textOf(const Packed &packed) const;
-    /// Index entry of the record, or the one to put it in.
+    /// Returns the index entry of the record, or the one to insert it at.
     std::size_t entryOf(RecordKind kind, std::string_view name) const;
     std::vector<std::uint32_t> sortedPositions() const;
     void rebuildIndex(std::size_t entries);
@@ -113,11 +115,11 @@
     void compactIfWasteful();
 
     ByteArena arena_;
-    std::size_t wasted_ = 0; // bytes of arena_ that no record uses any more
+    std::size_t wasted_ = 0; // bytes of arena_ that are no longer referenced
     TextPool pool_;
-    // Open addressing over positions in arena_; 0 is empty, 1 is a removed record.
+    // Open-addressing hash index of positions in arena_; 0 is empty, 1 is a removed record.
     std::vector<std::uint32_t> index_ = std::vector<std::uint32_t>(16, 0);
-    std::size_t occupied_ = 0; // entries of index_ that are not empty
+    std::size_t occupied_ = 0; // entries of index_ that are not empty, including removed ones
     std::array<std::size_t, enumCount<RecordKind>> counts_{};
     std::map<std::string, Named, std::less<>> services_;
     std::optional<Named> policy_;
@@ -160,7 +162,7 @@
     }
 }
 
-/// Hash of one record's text, as it goes into the digest.
+/// Hash of one record, as summed into the digest.
 std::uint64_t recordHash(RecordKind kind, std::string_view name, std::string_view json);
 
 } // namespace anvilscale
--- a/src/state/record_text.cpp
+++ b/src/state/record_text.cpp
@@ -1,10 +1,10 @@
-// Writes adapters and routes as JSON: the canonical text, from which the store need not keep a copy.
+// Canonical JSON of adapters and routes, from which the store can reproduce their texts.
 #include "record.h"
 
 namespace anvilscale {
 namespace {
 
-/// Writes one JSON object; members with empty values are left out.
+/// Writes one JSON object. Members with empty or zero values are omitted.
 class ObjectWriter
 {
 public:
--- a/src/state/seen_keys.cpp
+++ b/src/state/seen_keys.cpp
@@ -1,4 +1,4 @@
-// The keys that the owner of a slot has seen, with the answers of finished executions.
+// Table of idempotency keys seen by a slot owner, with cached answers of finished executions.
 #include "wire.pb.h"
 
 #include "anvilscale/state.h"
@@ -10,7 +10,7 @@
 namespace anvilscale {
 namespace {
 
-/// The 128 bits of a UUID; its spelling does not matter. Ordered by stamp, because the stamp comes first.
+/// A UUID as 128 bits, independent of letter case. Ordered by time stamp, which comes first.
 struct KeyBits
 {
     std::uint64_t high = 0;
@@ -82,18 +82,18 @@
     struct Seen
     {
         std::uint64_t fingerprint = 0;
-        ExecutionHandle execution; // none once it has ended
-        std::shared_ptr<const KeptAnswer> answer; // empty: the outcome is not known, or the answer was dropped
+        ExecutionHandle execution; // none after it has ended
+        std::shared_ptr<const KeptAnswer> answer; // empty if the outcome is unknown or the answer was dropped
         TimePoint endedAt;
     };
 
     Limits limits;
-    std::map<KeyBits, Seen> keys; // the oldest stamp first
-    std::deque<KeyBits> answered; // keys with an answer, in order of their end; may name forgotten ones
+    std::map<KeyBits, Seen> keys; // oldest stamp first
+    std::deque<KeyBits> answered; // keys with an answer, in order of completion; may contain removed keys
     std::size_t answerBytes = 0;
-    // Largest wall time seen: a clock that is set back must not make a forgotten key new again.
+    // Largest wall time seen. Prevents a clock that is set back from making a removed key valid again.
     WallTime latest;
-    // Every key that was ever forgotten is stamped before this.
+    // All removed keys are stamped before this time.
     WallTime forgottenBefore;
 
     KeyDecision onKnown(const Seen &seen, std::uint64_t fingerprint) const;
@@ -112,7 +112,7 @@
 
 KeyDecision SeenKeys::Impl::onKnown(const Seen &seen, std::uint64_t fingerprint) const
 {
-    // A key runs one request at most. Another request under it has not run: nobody else owns the key.
+    // A key runs at most one request. Another request under it has not run, since only this owner handles the key.
     if (seen.fingerprint != fingerprint) {
         return refuse(RefusalReason::KeyReused, true);
     }
@@ -159,7 +159,7 @@
 void SeenKeys::Impl::forgetBefore(WallTime threshold)
 {
     for (auto it = keys.begin(); it != keys.end() && it->first.stamp() < threshold;) {
-        if (it->second.execution) { // running: a repeat still attaches
+        if (it->second.execution) { // still running; a repeat attaches to it
             ++it;
             continue;
         }
@@ -188,8 +188,8 @@
     if (known != impl_->keys.end()) {
         return impl_->onKnown(known->second, fingerprint);
     }
-    // The former owner may have accepted the key, and may run it when it wakes from a pause. This goes before every
-    // refusal that claims a proof.
+    // The previous owner may have accepted the key and may run it after a pause. Checked before every refusal that
+    // claims a proof.
     if (*stamp < takenAt) {
         return refuse(RefusalReason::KeyTooOld, false);
     }
@@ -197,7 +197,7 @@
     if (*stamp < std::max(windowStart, impl_->forgottenBefore)) {
         return refuse(RefusalReason::KeyTooOld, false);
     }
-    // Accepted, such a key could be stamped after a successor's take-over time, which would run it again.
+    // If accepted, the key could be stamped after a successor's takeover time, which would run it again.
     if (stamp->ms > now.wall.ms + toMs(service.skew)) {
         return refuse(RefusalReason::KeyFromFuture, true);
     }
@@ -282,7 +282,7 @@
 
 bool SeenKeys::importPart(const wire::SlotHandover &part, Now now)
 {
-    // What a giver sends is bounded by its own limit; twice that is more than one owner can be asked to remember.
+    // A sender's keys are bounded by its own limit. Allowing twice the limit bounds this owner's memory.
     if (impl_->keys.size() + static_cast<std::size_t>(part.keys_size()) > 2 * impl_->limits.keys) {
         return false;
     }
@@ -296,7 +296,7 @@
         const auto [entry, added] = impl_->keys.try_emplace(bits);
         Impl::Seen &seen = entry->second;
         if (!added && (seen.execution || seen.answer)) {
-            continue; // this owner knows more
+            continue; // the local entry has more information
         }
         seen.fingerprint = from.fingerprint();
         seen.endedAt = now.mono;
--- a/src/state/slot_giving.cpp
+++ b/src/state/slot_giving.cpp
@@ -1,4 +1,4 @@
-// Parts and acknowledgements of a hand-over.
+// Parts and acknowledgements of a slot transfer.
 #include "slot_giving.h"
 
 namespace anvilscale {
@@ -73,7 +73,7 @@
     if (ack.from().name() != receiver_ || ack.service() != service_) {
         return;
     }
-    // Two starts of the receiver have each only a part of the keys: neither may become the owner.
+    // Each incarnation of the receiver has only a part of the keys, so neither may become the owner.
     if (receiverIncarnation_ != 0 && ack.from().incarnation() != receiverIncarnation_) {
         sends_ = mostSends;
         return;
--- a/src/state/slot_giving.h
+++ b/src/state/slot_giving.h
@@ -1,4 +1,4 @@
-// One batch of slots on its way from its owner to a receiver: the seen keys first, the table last.
+// Transfer of a batch of slots from their owner to a receiver: the seen keys first, the table last.
 #pragma once
 
 #include "slot_table.h"
@@ -11,8 +11,8 @@
 
 namespace anvilscale {
 
-/// What the giver remembers of a hand-over under way. Invariant: from construction on the giver refuses the slots, so
-/// the parts hold every key that was ever admitted under its ownership.
+/// State of a transfer at its sender. Invariant: the sender refuses the slots from construction on, so the parts
+/// contain every key that was admitted under its ownership.
 class SlotGiving
 {
 public:
@@ -23,12 +23,12 @@
     bool holds(std::uint32_t slot) const;
     const std::set<std::uint32_t> &slots() const;
     const std::string &receiver() const;
-    /// Known from the first acknowledgement: the incarnation whose memory holds the keys.
+    /// Incarnation of the receiver that holds the keys; 0 before the first acknowledgement.
     std::uint64_t receiverIncarnation() const;
-    /// `all` off (tests only): one acknowledged part is taken for all.
+    /// Returns true if all parts are acknowledged. If `all` is false (tests only), one acknowledged part is enough.
     bool acknowledged(bool all = true) const;
     void onAck(const wire::SlotHandoverAck &ack);
-    /// Sends what is not acknowledged. Returns false when it was sent too often.
+    /// Sends all unacknowledged parts. Returns false when the maximum number of sends is reached.
     bool sendAll(const std::function<void(const std::string &, wire::Envelope)> &send);
 
 private:
--- a/src/state/slot_owner.cpp
+++ b/src/state/slot_owner.cpp
@@ -1,6 +1,6 @@
-// Ownership of the slots of one service: one table, changed by compare-and-swap only, and one lease for each sidecar.
-// Every change is planned on a fresh read of the leases and the table, in the reply to that read: so the wall time
-// written as the take-over time is later than the moment at which the former owner's lease was seen to be gone.
+// Ownership of a service's slots: one table, changed only by compare-and-swap, and one lease per sidecar.
+// Changes are planned on a fresh read of leases and table, in the reply to that read, so that the wall time written as
+// the takeover time is later than the time at which the previous owner's lease was seen to be gone.
 #include "slot_owner_impl.h"
 
 #include <algorithm>
@@ -78,8 +78,8 @@
     return slot.owner.name == init.self && slot.owner.incarnation == init.incarnation;
 }
 
-/// A lease that lapsed and was taken anew does not bring the slots back by itself: somebody may have taken them over
-/// in between, and our copy of the table may not show it yet.
+/// A reacquired lease does not restore the ownership: another sidecar may have claimed the slots meanwhile, and this
+/// copy of the table may be older.
 bool SlotOwner::Impl::mineUnderLease(const config::SlotRange &range) const
 {
     return range.owner() == init.self && range.owner_incarnation() == init.incarnation
@@ -142,7 +142,7 @@
         const auto *range = rangeOf(table, slot);
         return range != nullptr && range->owner() == init.self && range->owner_incarnation() == init.incarnation;
     });
-    if (!anyOurs) { // the move took effect, whether or not its reply came
+    if (!anyOurs) { // the transfer took effect, even if its reply was lost
         giving.reset();
         resuming = false;
     }
@@ -176,9 +176,9 @@
         return;
     }
     takeTable(reply.entries);
-    // A read that shows an older table than we know comes from a stale replica: nothing is planned on it. Nor on a
-    // list of leases that is older than the table: an owner that came between the two would look gone, and the
-    // take-over time would be read while that owner still accepts keys.
+    // A read older than the cached table comes from a stale replica and is not used. Neither is a list of leases older
+    // than the table: an owner that appeared between the two would seem gone, and the takeover time would be read while
+    // it still accepts keys.
     const std::int64_t shown = reply.entries.empty() ? 0 : reply.entries.front().modRevision;
     if (shown < tableMod || holdersRevision < tableMod) {
         planIn(backoff.next(random), now);
@@ -192,7 +192,7 @@
 {
     step = Step::Idle;
     if (reply.status != KvStatus::Ok) {
-        // Whether a lost write took effect is learned from the next read; it is planned anew on what that shows.
+        // The next read shows whether a write without a reply took effect; changes are planned again on it.
         planIn(reply.status == KvStatus::Conflict ? random.jitter(soon * 4) : backoff.next(random), now);
         return;
     }
@@ -300,12 +300,12 @@
 
 bool SlotOwner::onHandover(const wire::SlotHandover &part, Now now)
 {
-    // One that leaves itself must not become the owner: the keys would have to move again at once.
+    // A sidecar that is draining must not become the owner: the keys would have to be transferred again at once.
     if (part.service() != impl_->init.service || impl_->draining || impl_->init.seen == nullptr || !impl_->init.send
         || !impl_->init.seen->importPart(part, now)) {
         return false;
     }
-    // Whoever gives is leaving or has too many: nothing is given back to it until the members change.
+    // The sender is leaving or has too many slots, so nothing is transferred back to it until the members change.
     impl_->deafReceivers.insert(part.from().name());
     wire::Envelope envelope;
     auto &ack = *envelope.mutable_slot_handover_ack();
--- a/src/state/slot_owner_impl.h
+++ b/src/state/slot_owner_impl.h
@@ -1,4 +1,4 @@
-// State of the owner of slots: what it has read, the step it is in, and what it gives to another owner.
+// State of a slot owner: cached leases and table, current step, and the transfer in progress.
 #pragma once
 
 #include "kv_ids.h"
@@ -7,9 +7,9 @@
 
 namespace anvilscale {
 
-constexpr Duration soon = Milliseconds(20); // from a change that matters to the next plan
+constexpr Duration soon = Milliseconds(20); // delay from a relevant change to the next plan
 
-/// An incarnation as it stands in the key of its lease: hexadecimal, of equal length, so that keys sort by it.
+/// Formats an incarnation for the lease key: hexadecimal with a fixed length, so that keys sort by it.
 std::string incarnationText(std::uint64_t incarnation);
 
 struct SlotOwner::Impl
@@ -29,24 +29,24 @@
     Random random;
     Backoff backoff;
     LeaseKeeper lease;
-    KeyFollower follower; // of the table
+    KeyFollower follower; // watches the table
 
     config::SlotTable table;
-    std::int64_t tableMod = 0; // modification revision of `table`; only grows
+    std::int64_t tableMod = 0; // modification revision of `table`; never decreases
     std::vector<std::string> members;
-    LeaseHolders holders; // as of the last read
+    LeaseHolders holders; // from the last read
     std::int64_t holdersRevision = 0; // store revision of that read
     Step step = Step::Idle;
     KvHandle pending;
-    bool planAgain = false; // something happened while a step was under way
+    bool planAgain = false; // a change arrived while a step was in progress
     TimerHandle planTimer;
     TimerHandle resendTimer;
     bool draining = false;
-    std::optional<SlotGiving> giving; // its slots are refused
-    bool resuming = false; // the hand-over was given up: the slots are ours again after the next write
-    std::set<std::string> deafReceivers; // did not acknowledge, or gave to us
-    std::optional<TimePoint> orphansSince; // slots that no member takes up
-    config::SlotTable written; // while Writing
+    std::optional<SlotGiving> giving; // transfer in progress; its slots are refused
+    bool resuming = false; // the transfer was aborted; its slots are ours again after the next write
+    std::set<std::string> deafReceivers; // did not acknowledge a transfer, or sent one to us
+    std::optional<TimePoint> orphansSince; // time since which unclaimed slots exist
+    config::SlotTable written; // table being written, in Step::Writing
 
     Impl(Init from, std::function<void(KvRequest)> to);
     ~Impl();
--- a/src/state/slot_plan.cpp
+++ b/src/state/slot_plan.cpp
@@ -1,5 +1,5 @@
-// One plan of the owner of slots, on a fresh read of the leases and the table: what it moves, takes up, releases and
-// gives.
+// Planning of a slot owner on a fresh read of leases and table: completes transfers, claims, releases and starts
+// transfers.
 #include "slot_owner_impl.h"
 
 #include <algorithm>
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr std::size_t batchSlots = 64; // given at a time
+constexpr std::size_t batchSlots = 64; // slots per transfer
 constexpr Duration resendAfter = Milliseconds(300);
-// Slots are only moved between live owners when one has this share of all too many: each move refuses calls a moment.
-constexpr std::uint32_t toleratedExcess = 32; // 1/32
+// Slots are moved between live owners only if one exceeds its share by this fraction: calls are refused during a move.
+constexpr std::uint32_t toleratedExcess = 32; // divisor: 1/32 of all slots
 
 } // namespace
 
-/// The receiver holds all keys of the given slots: the table names it, if it still lives.
+/// Names the receiver in the table after it has acknowledged all keys, if its lease still exists.
 bool SlotOwner::Impl::moveGiven(std::vector<SlotState> &slots, std::vector<KvCompare> &compares)
 {
     if (!giving || resuming || !giving->acknowledged(init.safeguards.keysBeforeTable)) {
@@ -29,7 +29,7 @@
     const std::uint64_t fence = nextFence(slots);
     for (const auto slot : giving->slots()) {
         if (mine(slots[slot])) {
-            // `taken` stays: the receiver knows what we knew, and no more.
+            // `taken` is unchanged: the receiver has exactly the keys of the sender.
             slots[slot].owner = receiver;
             slots[slot].fence = fence;
             slots[slot].lease = static_cast<std::uint64_t>(holder->second);
@@ -40,8 +40,8 @@
     return true;
 }
 
-/// Slots that are ours in the table but under a lease that lapsed, or whose hand-over was given up. Nobody took them,
-/// and all their keys are still in our memory. The new fencing number makes late acknowledgements void.
+/// Reclaims slots that the table lists under a lapsed lease of ours, or whose transfer was aborted. Their keys are
+/// still in memory. The new fencing number invalidates late acknowledgements.
 bool SlotOwner::Impl::reclaim(std::vector<SlotState> &slots)
 {
     const std::uint64_t fence = nextFence(slots);
@@ -78,7 +78,8 @@
     const auto owned = static_cast<std::uint32_t>(
         std::count_if(slots.begin(), slots.end(), [this](const SlotState &slot) { return mine(slot); }));
     const std::uint32_t share = fairShare(slotCount(), members.size());
-    // The others had a lease's time to take up their shares: what is left belongs to members that are not there.
+    // The other members had the duration of a lease to claim their shares; what is left belongs to members that do not
+    // exist.
     const bool orphaned = now.mono - *orphansSince >= init.timing.lease;
     std::uint32_t wanted = orphaned ? free : share - std::min(share, owned);
     const std::uint64_t fence = nextFence(slots);
@@ -104,7 +105,7 @@
     return std::any_of(slots.begin(), slots.end(), [&](const SlotState &slot) { return slot.fence == fence; });
 }
 
-/// A drain that finds nobody to give to leaves the slots free, so that others need not wait for the lease to end.
+/// Leaves the slots unowned if a drain finds no receiver, so that others need not wait until the lease expires.
 bool SlotOwner::Impl::release(std::vector<SlotState> &slots, Now now)
 {
     const std::uint64_t fence = nextFence(slots);
@@ -130,7 +131,7 @@
     return owned > tolerated ? owned - share : 0;
 }
 
-/// The live member with the fewest slots, if it has less than its share (or if we must give them away).
+/// Returns the live member with the fewest slots if it is below its share, or any if we are draining.
 std::string SlotOwner::Impl::chooseReceiver(const std::vector<SlotState> &slots) const
 {
     std::string best;
@@ -190,7 +191,7 @@
     });
 }
 
-/// The slots stay refused until a write has made them ours again under a new fencing number.
+/// Aborts the transfer. The slots stay refused until a write has renewed our ownership with a new fencing number.
 void SlotOwner::Impl::giveUpReceiver(Now now)
 {
     deafReceivers.insert(giving->receiver());
@@ -211,7 +212,7 @@
             write(slots, std::move(compares));
             return;
         }
-        giveUpReceiver(now); // it died after it had taken the keys
+        giveUpReceiver(now); // the receiver failed after it had acknowledged the keys
     }
     if (reclaim(slots) || (!giving && claim(slots, compares, now))) {
         write(slots, std::move(compares));
--- a/src/state/slot_table.cpp
+++ b/src/state/slot_table.cpp
@@ -1,4 +1,4 @@
-// Reading and writing of slot tables.
+// Conversion between slot tables and their compressed form of ranges.
 #include "slot_table.h"
 
 #include <algorithm>
--- a/src/state/slot_table.h
+++ b/src/state/slot_table.h
@@ -1,4 +1,4 @@
-// The slot table of a service, slot by slot.
+// Slot table of a service, expanded to single slots.
 #pragma once
 
 #include "config.pb.h"
@@ -11,7 +11,7 @@
 
 namespace anvilscale {
 
-/// One start of one sidecar.
+/// An incarnation of a sidecar.
 struct OwnerId
 {
     std::string name;
@@ -19,12 +19,12 @@
     auto operator<=>(const OwnerId &) const = default; // NOLINT(modernize-use-nullptr): not a pointer
 };
 
-/// Sidecars of the service that hold a lease now, with the modification revision of each one's lease key.
+/// Sidecars of the service that currently hold a lease, with the modification revision of their lease keys.
 using LeaseHolders = std::map<OwnerId, std::int64_t>;
 
 struct SlotState
 {
-    OwnerId owner; ///< empty name: nobody
+    OwnerId owner; ///< empty name if unowned
     std::uint64_t fence = 0;
     std::uint64_t lease = 0; ///< modification revision of the owner's lease key
     WallTime taken;
@@ -35,11 +35,11 @@
 std::vector<SlotState> expand(const config::SlotTable &table, std::uint32_t slots);
 config::SlotTable compress(const std::string &service, std::uint64_t tableRevision,
                            const std::vector<SlotState> &slots);
-/// The range that holds the slot, or nullptr.
+/// Returns the range that contains the slot, or nullptr.
 const config::SlotRange *rangeOf(const config::SlotTable &table, std::uint32_t slot);
-/// A fencing number above all that the table has held. Invariant: a table's largest fence never falls.
+/// Returns a fencing number above all in the table. Invariant: a table's largest fence never decreases.
 std::uint64_t nextFence(const std::vector<SlotState> &slots);
-/// Slots each member should own, rounded up.
+/// Number of slots per member, rounded up.
 std::uint32_t fairShare(std::uint32_t slots, std::size_t members);
 
 } // namespace anvilscale
--- a/src/telemetry/events.cpp
+++ b/src/telemetry/events.cpp
@@ -1,5 +1,5 @@
-// The table of log events. Numbers are grouped: 1xx process, 2xx configuration, 3xx membership and leases,
-// 4xx endpoint and loads, 5xx calls, 6xx platform, 9xx faults of our own.
+// Table of log events. Number ranges: 1xx process, 2xx configuration, 3xx membership and leases, 4xx endpoint and
+// loads, 5xx calls, 6xx platform, 9xx internal errors.
 #include "anvilscale/telemetry.h"
 
 namespace anvilscale {
--- a/src/telemetry/log.cpp
+++ b/src/telemetry/log.cpp
@@ -1,4 +1,4 @@
-// Log lines through log4cxx: one JSON object a line, with time, number, name, level and the event's own fields.
+// Structured logging through log4cxx: one JSON object per line with time, event, name, level and fields.
 #include "anvilscale/telemetry.h"
 
 #include <log4cxx/consoleappender.h>
@@ -14,7 +14,7 @@
 
 namespace {
 
-std::string processName; // set once by initLog, before other threads start
+std::string processName; // set by initLog before other threads start
 
 log4cxx::LevelPtr levelOf(LogLevel level)
 {
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -1,4 +1,4 @@
-// Metrics in the Prometheus text format, histograms by Boost.Histogram.
+// Metrics in the Prometheus text format, with histograms from Boost.Histogram.
 #include "anvilscale/telemetry.h"
 
 #include <boost/histogram/axis/variable.hpp>
--- a/tests/unit/base_test.cpp
+++ b/tests/unit/base_test.cpp
@@ -1,4 +1,4 @@
-// Timers, random numbers, hashes and name tables of the base library.
+// Tests of timers, random numbers, digests and name tables.
 #include "anvilscale/base.h"
 
 #include <gtest/gtest.h>
--- a/tests/unit/settings_test.cpp
+++ b/tests/unit/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings are checked whole: each fault gives one typed error with the field's path, and nothing is started.
+// Tests of settings validation: each fault is reported with its kind and the path of the field.
 #include "anvilscale/settings.h"
 
 #include <gtest/gtest.h>
--- a/tests/unit/state_config_test.cpp
+++ b/tests/unit/state_config_test.cpp
@@ -1,4 +1,4 @@
-// Configuration records and the store: both schema versions, deltas, snapshots, digests.
+// Tests of configuration records and the store: both schema versions, deltas, snapshots, digests.
 #include "config.pb.h"
 #include "wire.pb.h"
 
@@ -90,8 +90,7 @@
               ConfigErrorKind::OutOfRange);
 }
 
-// A doubled admission: with a margin below twice the skew a key that the paused owner still runs may be stamped after
-// the new owner's take-over time, so the new owner would run it too. Such a record is refused.
+// A margin below twice the skew would let a new owner run a key again that the paused previous owner still runs.
 TEST(ParseRecord, WindowSkewAndMarginAreCheckedTogether)
 {
     const auto service = [](const std::string &fields) {
@@ -132,7 +131,7 @@
     EXPECT_EQ(store.digest(), 0U);
 }
 
-// Ten thousand repeats: with another number of slots a key has another owner, which has not seen it and runs it again.
+// A changed slot count would move keys to owners that have not seen them and would run them again.
 TEST(ConfigStore, SlotsOfANonIdempotentServiceStay)
 {
     ConfigStore store;
@@ -143,8 +142,8 @@
     EXPECT_EQ(applied.error().path, "service/admission.slots");
 }
 
-// Differential: any sequence of puts and removals gives the records and the digest of a plain map of texts, also
-// after a snapshot has carried them to another store, and whatever way the peer caught up.
+// Compares the store with a plain map of texts under random puts and removals, also after snapshots and pushes to a
+// second store.
 RC_GTEST_PROP(ConfigStore, AgreesWithAPlainMapAndReachesPeers, ())
 {
     ConfigStore store;
--- a/tests/unit/state_keys_test.cpp
+++ b/tests/unit/state_keys_test.cpp
@@ -1,4 +1,4 @@
-// Idempotency keys and the table of seen keys.
+// Tests of idempotency keys and the table of seen keys.
 #include "wire.pb.h"
 
 #include "anvilscale/state.h"
@@ -84,8 +84,7 @@
     EXPECT_EQ(keys.admit(key, at(1)).kind, KeyDecisionKind::Run);
 }
 
-// The caller repeats an admission after the owner's table is full: a table that made room by forgetting a key within
-// its window would run that key's repeat a second time. So the newcomer is turned away, as certainly not run.
+// A full table that evicted a key within its window would run that key's repeat a second time.
 TEST(SeenKeys, FullTableRefusesAndForgetsNothingEarly)
 {
     Keys keys;
@@ -123,8 +122,7 @@
     EXPECT_EQ(keys.admit("", at(6000)).reason, RefusalReason::KeyMissing);
 }
 
-// A doubled count: the owner's wall clock is set back after a key was forgotten, and the key looks young again. Or the
-// operator lengthens the window. In both cases the owner must remember up to which stamp it has forgotten.
+// A removed key must not become valid again when the wall clock is set back or the window is lengthened.
 TEST(SeenKeys, ForgottenKeyStaysForgottenWhenTheClockOrTheWindowChanges)
 {
     Keys keys;
@@ -143,8 +141,7 @@
     EXPECT_FALSE(longer.provedNotRun);
 }
 
-// Whatever happens to one owner's table (repeats, ends, releases before the endpoint, hand-overs to another owner and
-// back, time passing), no key is given out to run twice unless it was released in between.
+// Under random repeats, completions, releases, handovers and passing time, no key runs twice unless it was released.
 RC_GTEST_PROP(SeenKeys, NoKeyRunsTwiceOverHandOvers, ())
 {
     std::array<SeenKeys, 2> owners{SeenKeys(SeenKeys::Limits{1000, 2000}), SeenKeys(SeenKeys::Limits{1000, 2000})};
--- a/tests/unit/state_lease_test.cpp
+++ b/tests/unit/state_lease_test.cpp
@@ -1,4 +1,4 @@
-// Leases and followed keys under lost replies, outages and pauses.
+// Tests of leases and watched keys under lost replies, outages and pauses.
 #include "support/virtual_world.h"
 
 #include "anvilscale/state.h"
@@ -54,9 +54,8 @@
     EXPECT_GT(second.keeper.fence(), fence);
 }
 
-// Two schedulers grant at once: the holder is paused past its lease, another takes over, and the first wakes with its
-// answers still in the queue. By its own clock, counted from before the last keep-alive was sent, it must see that it
-// may not act, before it has read anything.
+// Guards against two active holders: a holder that was paused past its lease must not act, even before it has read any
+// queued reply.
 TEST(LeaseKeeper, HolderThatWasPausedMayNotActWhenItWakes)
 {
     VirtualWorld world;
@@ -72,8 +71,8 @@
     EXPECT_FALSE(first.keeper.mayAct(world.now().mono));
 }
 
-// The write that takes the key has its effect, the reply is lost. The key names us; a keeper that wrote again blindly
-// would meet its own key, take it for another's and wait for ever on itself.
+// A write that took effect without a reply must be read back; repeated blindly it would conflict with the holder's own
+// key forever.
 TEST(LeaseKeeper, LostReplyOfTheAcquisitionIsReadBack)
 {
     VirtualWorld world;
@@ -118,8 +117,8 @@
     }
 }
 
-// After an outage every process comes back at once and the service goes down again: the herd. The requests of many
-// holders in the first second after an outage of minutes must be a small share of their number.
+// Guards against a thundering herd: after an outage only a small share of many holders may retry within the first
+// second.
 TEST(LeaseKeeper, NoHerdAfterAnOutage)
 {
     VirtualWorld world;
@@ -160,8 +159,8 @@
     KeyFollower follower;
 };
 
-// A watch breaks and resumes, is compacted away, replies are lost: what the follower knows must come to agree with
-// the service, with nothing missed in between.
+// Under broken watches, compaction and lost replies, the watched state must converge to that of the service without
+// missing changes.
 RC_GTEST_PROP(KeyFollower, AgreesWithTheServiceInTheEnd, ())
 {
     VirtualWorld world;
--- a/tests/unit/state_membership_test.cpp
+++ b/tests/unit/state_membership_test.cpp
@@ -1,4 +1,4 @@
-// Membership from a lagging list and direct heartbeats.
+// Tests of membership from a lagging VM list and direct heartbeats.
 #include "wire.pb.h"
 
 #include "anvilscale/state.h"
@@ -59,8 +59,7 @@
     return beat;
 }
 
-// A beat carries a tag in place of the whole incarnation. It keeps the start alive that a heartbeat told of; a beat of
-// another start, late or early on a reused connection, keeps nothing alive and brings nothing back.
+// A short beat must keep only the incarnation of the last full heartbeat alive and must not revive any other.
 TEST(Membership, BeatSpeaksOnlyForTheStartThatWasHeard)
 {
     Watched watched;
@@ -98,8 +97,8 @@
     EXPECT_EQ(watched.state(), MemberState::Live);
 }
 
-// New work goes to an endpoint that is shutting down: a late heartbeat of the same start, or a list that lags behind,
-// must not bring back what has said that it leaves. A later start is another process.
+// Guards against new work for a leaving process: neither a late heartbeat nor a lagging list may revive its
+// incarnation.
 TEST(Membership, LeavingIsFinalForTheIncarnation)
 {
     Watched watched;
@@ -121,8 +120,8 @@
     EXPECT_EQ(watched.state(), MemberState::Leaving);
 }
 
-// A VM is replaced by one of the same name, and the list still says "leaving" of the old one. Taken for final, that
-// would keep the new sidecar out of work for as long as it runs; taken for nothing, a leaving VM would get new work.
+// A lagging "leaving" entry of a replaced VM must not retire its successor, but the successor gets no new work while it
+// is listed.
 TEST(Membership, ListThatLagsDoesNotRetireTheSuccessor)
 {
     Watched watched;
@@ -162,8 +161,7 @@
     EXPECT_EQ(watched.state(), MemberState::Leaving);
 }
 
-// Calls are moved about at each change of state: a member whose heartbeats come just at the edge would change state
-// all the time. After some suspicions it has to be heard more often before it counts as live.
+// A member whose heartbeats arrive just at the suspect time must not flap, since each state change moves calls.
 TEST(Membership, SuspicionDoesNotFlap)
 {
     Watched watched;
@@ -177,7 +175,7 @@
     EXPECT_EQ(watched.state(), MemberState::Live);
 }
 
-// A process that was paused finds everybody silent, because it has not read what came in the meantime.
+// A paused process must not suspect others for heartbeats that it has not yet read.
 TEST(Membership, PausedProcessSuspectsNobodyOnWaking)
 {
     Watched watched;
--- a/tests/unit/state_slots_test.cpp
+++ b/tests/unit/state_slots_test.cpp
@@ -1,4 +1,4 @@
-// Ownership of slots: fair shares, take-over after a lease, hand-over at a drain, and what a pause can do.
+// Tests of slot ownership: fair shares, takeover after a lease expires, handover at a drain, and pauses.
 #include "config.pb.h"
 #include "support/virtual_world.h"
 #include "wire.pb.h"
@@ -33,7 +33,7 @@
 
 struct Group;
 
-/// One sidecar of the service, as far as slots go.
+/// Sidecar of the service, reduced to its slot ownership.
 struct Sidecar
 {
     Sidecar(Group &group, std::string name, std::uint64_t incarnation);
@@ -42,8 +42,8 @@
     std::string name;
     SeenKeys seen{SeenKeys::Limits{}};
     bool dead = false;
-    bool cut = false; // from the key-value service
-    std::vector<KvHandle> brokenWatches; // that lost an event while it was cut
+    bool cut = false; // disconnected from the key-value service
+    std::vector<KvHandle> brokenWatches; // watches that lost an event while disconnected
     std::unique_ptr<SlotOwner> owner;
 
     void onReply(KvReply reply, Now at);
@@ -56,8 +56,8 @@
     VirtualWorld world;
     std::unique_ptr<ConfigStore> config = makeConfig();
     std::map<std::string, std::unique_ptr<Sidecar>> sidecars;
-    std::vector<std::unique_ptr<Sidecar>> buried; // replies to them may still be under way
-    bool deaf = false; // hand-over messages are lost
+    std::vector<std::unique_ptr<Sidecar>> buried; // kept alive for replies still in flight
+    bool deaf = false; // drops all handover messages
 
     Sidecar &add(const std::string &name, std::uint64_t incarnation = 1)
     {
@@ -92,7 +92,7 @@
             }
         });
     }
-    /// How many sidecars believe that they own the slot; the invariant is at most one.
+    /// Returns the sidecars that claim the slot; the invariant is at most one.
     std::vector<Sidecar *> ownersOf(std::uint32_t slot)
     {
         std::vector<Sidecar *> owners;
@@ -193,8 +193,8 @@
     }
 }
 
-// A sidecar dies; its calls are over, but the keys it had seen are gone with it. The others may take its slots only
-// when its lease has ended, and must refuse every key that it may have accepted.
+// After a crash the slots may be claimed only when the lease has expired, and keys that the previous owner may have
+// accepted are refused.
 TEST(SlotOwner, TakesOverOnlyAfterTheLeaseAndOnlyNewerKeys)
 {
     Group group;
@@ -217,8 +217,7 @@
     EXPECT_NEAR(static_cast<double>(after.takenAt.ms), static_cast<double>(group.world.now().wall.ms + marginMs), 20.0);
 }
 
-// A gate agent repeats an admission while the sidecar that ran it is being replaced. The leaving one hands its keys
-// over before the table names the new owner, so the repeat gets the first answer and is not refused either.
+// A drain must transfer the keys before the table names the new owner, so that a repeat gets the first answer.
 TEST(SlotOwner, DrainHandsTheKeysOverAndNoWindowIsRefused)
 {
     Group group;
@@ -278,10 +277,8 @@
     EXPECT_TRUE(group.world.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
 }
 
-// A doubled admission: the owner is paused between its look at the lease and the send of the call. Its lease ends,
-// another sidecar takes the slot over, the caller repeats there, and then the first one wakes and sends. What saves
-// the caller: the first owner accepted the key before the take-over, so its stamp is below the successor's time.
-// At most one owner at a time is checked as well, under lost requests, lost replies, outages, deaths and restarts.
+// Guards against a key that runs twice after a takeover, and against two owners of a slot, under lost requests, lost
+// replies, outages, crashes and restarts.
 RC_GTEST_PROP(SlotOwner, NoKeyIsAdmittedTwiceWhateverFails, ())
 {
     Group group;
@@ -327,7 +324,7 @@
         for (std::uint32_t slot = 0; slot < slotCount; ++slot) {
             RC_ASSERT(group.ownersOf(slot).size() <= 1);
         }
-        // Stamps reach as far ahead as the skew allows: that is what the margin is for.
+        // Stamps reach as far ahead as the skew allows, which the margin has to cover.
         keys.push_back(makeKey(WallTime{group.world.now().wall.ms + *rc::gen::inRange(-4000, 1000)}, random));
         for (std::size_t i = keys.size() > 12 ? keys.size() - 12 : 0; i < keys.size(); ++i) {
             const auto slot = slotOf(keys[i], slotCount);
--- a/tests/unit/state_spread_test.cpp
+++ b/tests/unit/state_spread_test.cpp
@@ -1,4 +1,4 @@
-// Writers and spread of the configuration: racing operators, lost replies, outages, peers.
+// Tests of configuration writers and distribution: concurrent operators, lost replies, outages, peers.
 #include "config.pb.h"
 #include "support/virtual_world.h"
 #include "wire.pb.h"
@@ -103,7 +103,7 @@
     std::uint64_t changes = 0;
     std::uint64_t highest = 0;
     bool wentBack = false;
-    bool cut = false; // from its peers
+    bool cut = false; // disconnected from its peers
 };
 
 Process &Site::add(const std::string &name, bool mayWatch)
@@ -119,7 +119,7 @@
                        [&](const auto &entry) { return entry.second->store.revision() == revision; });
 }
 
-/// Heartbeats and Hello: everybody tells everybody twice a second.
+/// Delivers every process's revision and age to all others twice a second, as heartbeats do.
 void Site::gossip()
 {
     world.later(Milliseconds(500), [this](Now at) {
@@ -156,8 +156,7 @@
     EXPECT_EQ(second.store.revision(), 2U);
 }
 
-// The operator's change takes effect, but the reply is lost. Told "failed" he would make it again, told nothing he
-// would have to guess: the writer reads its own change id back.
+// A change whose reply is lost must be read back by its change id: reported as failed, it would be made a second time.
 TEST(ConfigWriter, LostReplyIsReadBackAndTheChangeIsMadeOnce)
 {
     VirtualWorld world;
@@ -235,7 +234,7 @@
     }
     EXPECT_LE(watching, 2);
     EXPECT_GE(watching, 1);
-    // Idle for a while: nobody becomes stale, and only the watchers and their rivals ask the service.
+    // When idle, no process becomes stale, and only watchers and candidates read from the service.
     site.world.run(Seconds(60));
     site.world.requests = 0;
     site.world.run(Seconds(60));
@@ -245,8 +244,8 @@
     }
 }
 
-// The service is down when a process starts. It says that its configuration is not there, takes the present one from
-// a peer, chunk by chunk, and goes on; staleness shows after a while, and ends with the outage.
+// A process that starts during an outage of the service must fetch the configuration from a peer, and become stale if
+// it stays unconfirmed.
 TEST(ConfigSpread, StartDuringAnOutageTakesTheConfigurationFromAPeer)
 {
     Site site;
@@ -271,8 +270,7 @@
     EXPECT_TRUE(site.world.runUntil(Seconds(60), [&] { return !old.spread->stale() && !fresh.spread->stale(); }));
 }
 
-// Whatever is lost, no process ever goes back, all stores at one revision agree, and when the faults end everybody
-// comes to the head. Every accepted change is there exactly once.
+// Under random faults no store may go back or diverge, and all must reach the head afterwards.
 RC_GTEST_PROP(ConfigSpread, NeverGoesBackAndConverges, ())
 {
     Site site;
--- a/tests/unit/telemetry_test.cpp
+++ b/tests/unit/telemetry_test.cpp
@@ -1,4 +1,4 @@
-// Log events and metrics.
+// Tests of log events and metrics.
 #include "anvilscale/telemetry.h"
 
 #include <gtest/gtest.h>
