--- a/include/anvilscale/base.h
+++ b/include/anvilscale/base.h
@@ -95,7 +95,7 @@
         std::uint64_t id;
         Callback callback;
     };
-    struct Later
+    struct FiresLater
     {
         bool operator()(const Entry &a, const Entry &b) const
         {
@@ -104,7 +104,7 @@
     };
     void dropCancelled() const;
 
-    mutable std::priority_queue<Entry, std::vector<Entry>, Later> queue_;
+    mutable std::priority_queue<Entry, std::vector<Entry>, FiresLater> queue_;
     // Ids of cancelled entries still in queue_. Invariant: a subset of the ids in queue_.
     mutable std::unordered_set<std::uint64_t> cancelled_;
     std::unordered_set<std::uint64_t> pending_; // ids in queue_ that were not cancelled
--- a/include/anvilscale/telemetry.h
+++ b/include/anvilscale/telemetry.h
@@ -147,10 +147,10 @@
     template<class E>
     void counters(std::string_view name, std::string_view help, std::string_view label, const Counters<E> &values)
     {
-        head(name, help, "counter");
+        writeHeader(name, help, "counter");
         for (std::size_t i = 0; i < enumCount<E>; ++i) {
             const auto value = static_cast<E>(i);
-            labelled(name, label, toString(value), values.of(value));
+            writeLabelled(name, label, toString(value), values.of(value));
         }
     }
     void add(const HistogramMetric &histogram);
@@ -160,8 +160,8 @@
     }
 
 private:
-    void head(std::string_view name, std::string_view help, std::string_view type);
-    void labelled(std::string_view name, std::string_view label, std::string_view labelValue, std::uint64_t value);
+    void writeHeader(std::string_view name, std::string_view help, std::string_view type);
+    void writeLabelled(std::string_view name, std::string_view label, std::string_view labelValue, std::uint64_t value);
 
     std::string text_;
 };
--- a/src/base/random.cpp
+++ b/src/base/random.cpp
@@ -22,13 +22,13 @@
     return splitMix(z);
 }
 
-constexpr std::uint64_t fnvOffset = 0xcbf29ce484222325ULL;
-constexpr std::uint64_t fnvPrime = 0x100000001b3ULL;
+constexpr std::uint64_t fnv1aOffset = 0xcbf29ce484222325ULL;
+constexpr std::uint64_t fnv1aPrime = 0x100000001b3ULL;
 
-std::uint64_t fnv(std::uint64_t state, std::string_view bytes)
+std::uint64_t fnv1a(std::uint64_t state, std::string_view bytes)
 {
     for (const char c : bytes) {
-        state = (state ^ static_cast<unsigned char>(c)) * fnvPrime;
+        state = (state ^ static_cast<unsigned char>(c)) * fnv1aPrime;
     }
     return state;
 }
@@ -78,12 +78,12 @@
 
 std::uint64_t hash64(std::string_view bytes, std::uint64_t seed)
 {
-    return mix(fnv(fnvOffset ^ seed, bytes));
+    return mix(fnv1a(fnv1aOffset ^ seed, bytes));
 }
 
 void Digest::add(std::string_view bytes)
 {
-    state_ = fnv(state_, bytes);
+    state_ = fnv1a(state_, bytes);
 }
 
 std::uint64_t Digest::value() const
--- a/src/settings/rules.cpp
+++ b/src/settings/rules.cpp
@@ -69,36 +69,37 @@
 };
 
 constexpr std::array textTable{
-    TextRule{"role", Scope::All, TextForm::Role, true, "", "which process this is"},
-    TextRule{"name", Scope::All, TextForm::Name, true, "", "name of the VM, unique in the deployment"},
-    TextRule{"dataCentre", Scope::All, TextForm::Name, true, "", "the data centre it stands in"},
-    TextRule{"region", Scope::All, TextForm::Name, false, "default", "the region of the data centre"},
-    TextRule{"control.address", Scope::All, TextForm::IpNumber, false, "127.0.0.1", "IP number to listen on"},
-    TextRule{"control.portFile", Scope::All, TextForm::Any, false, "", "file that the port is written to"},
-    TextRule{"http.address", Scope::All, TextForm::IpNumber, false, "127.0.0.1", "IP number to listen on"},
-    TextRule{"http.at", Scope::All, TextForm::AddressPort, false, "", "IP:PORT in place of http.address and http.port"},
-    TextRule{"http.portFile", Scope::All, TextForm::Any, false, "", "file that the port is written to"},
-    TextRule{"platform.keyValue", Scope::Relayed, TextForm::Url, true, "", "gateways of the key-value service"},
-    TextRule{"platform.prefix", Scope::Relayed, TextForm::Any, false, "/anvilscale/", "prefix of all keys"},
-    TextRule{"platform.vmList", Scope::Relayed, TextForm::Url, true, "", "where the list of VMs is read"},
-    TextRule{"sidecar.endpoint", Scope::Sidecar, TextForm::LoopbackUrl, true, "", "the endpoint beside it"},
-    TextRule{"sidecar.endpointKind", Scope::Sidecar, TextForm::EndpointKind, true, "", "engine or service"},
-    TextRule{"sidecar.baseModel", Scope::Sidecar, TextForm::Any, false, "", "base model of an engine"},
-    TextRule{"sidecar.services", Scope::Sidecar, TextForm::Name, false, "", "plain services that the endpoint gives"},
-    TextRule{"sidecar.lock.address", Scope::Sidecar, TextForm::LoopbackNumber, false, "127.0.0.1",
+    TextRule{"role", Scope::All, TextFormat::Role, true, "", "which process this is"},
+    TextRule{"name", Scope::All, TextFormat::Name, true, "", "name of the VM, unique in the deployment"},
+    TextRule{"dataCentre", Scope::All, TextFormat::Name, true, "", "the data centre it stands in"},
+    TextRule{"region", Scope::All, TextFormat::Name, false, "default", "the region of the data centre"},
+    TextRule{"control.address", Scope::All, TextFormat::IpAddress, false, "127.0.0.1", "IP number to listen on"},
+    TextRule{"control.portFile", Scope::All, TextFormat::Any, false, "", "file that the port is written to"},
+    TextRule{"http.address", Scope::All, TextFormat::IpAddress, false, "127.0.0.1", "IP number to listen on"},
+    TextRule{"http.at", Scope::All, TextFormat::AddressPort, false, "",
+             "IP:PORT in place of http.address and http.port"},
+    TextRule{"http.portFile", Scope::All, TextFormat::Any, false, "", "file that the port is written to"},
+    TextRule{"platform.keyValue", Scope::Relayed, TextFormat::Url, true, "", "gateways of the key-value service"},
+    TextRule{"platform.prefix", Scope::Relayed, TextFormat::Any, false, "/anvilscale/", "prefix of all keys"},
+    TextRule{"platform.vmList", Scope::Relayed, TextFormat::Url, true, "", "where the list of VMs is read"},
+    TextRule{"sidecar.endpoint", Scope::Sidecar, TextFormat::LoopbackUrl, true, "", "the endpoint beside it"},
+    TextRule{"sidecar.endpointKind", Scope::Sidecar, TextFormat::EndpointKind, true, "", "engine or service"},
+    TextRule{"sidecar.baseModel", Scope::Sidecar, TextFormat::Any, false, "", "base model of an engine"},
+    TextRule{"sidecar.services", Scope::Sidecar, TextFormat::Name, false, "", "plain services that the endpoint gives"},
+    TextRule{"sidecar.lock.address", Scope::Sidecar, TextFormat::LoopbackAddress, false, "127.0.0.1",
              "loopback number of the lock"},
-    TextRule{"direct.store", Scope::DirectEntry, TextForm::Url, true, "", "the platform's store"},
-    TextRule{"direct.store", Scope::DirectSidecar, TextForm::Url, false, "",
+    TextRule{"direct.store", Scope::DirectEntry, TextFormat::Url, true, "", "the platform's store"},
+    TextRule{"direct.store", Scope::DirectSidecar, TextFormat::Url, false, "",
              "the platform's store, which this sidecar then asks for entries; empty: it does not"},
-    TextRule{"direct.ready.address", Scope::DirectEntry, TextForm::IpNumber, false, "127.0.0.1",
+    TextRule{"direct.ready.address", Scope::DirectEntry, TextFormat::IpAddress, false, "127.0.0.1",
              "IP number to listen on"},
-    TextRule{"direct.ready.at", Scope::DirectEntry, TextForm::AddressPort, false, "",
+    TextRule{"direct.ready.at", Scope::DirectEntry, TextFormat::AddressPort, false, "",
              "IP:PORT in place of direct.ready.address and direct.ready.port"},
-    TextRule{"direct.endpoint", Scope::DirectSidecar, TextForm::Url, true, "", "the engine on the same VM"},
-    TextRule{"direct.without", Scope::Direct, TextForm::NameList, false, "",
+    TextRule{"direct.endpoint", Scope::DirectSidecar, TextFormat::Url, true, "", "the engine on the same VM"},
+    TextRule{"direct.without", Scope::Direct, TextFormat::NameList, false, "",
              "mechanisms that are switched off, to measure what they are worth"},
-    TextRule{"log.level", Scope::All, TextForm::LogLevel, false, "info", "least level that is written"},
-    TextRule{"log.file", Scope::All, TextForm::Any, false, "", "log file; empty: standard error; -: standard output"},
+    TextRule{"log.level", Scope::All, TextFormat::LogLevel, false, "info", "least level that is written"},
+    TextRule{"log.file", Scope::All, TextFormat::Any, false, "", "log file; empty: standard error; -: standard output"},
 };
 
 constexpr std::array flagTable{
@@ -107,17 +108,17 @@
              "the endpoint refuses orders with an old fencing number"},
 };
 
-bool isIpNumber(std::string_view text)
+bool isIpAddress(std::string_view text)
 {
     in_addr v4{};
     in6_addr v6{};
-    const std::string copy(text);
-    return inet_pton(AF_INET, copy.c_str(), &v4) == 1 || inet_pton(AF_INET6, copy.c_str(), &v6) == 1;
+    const std::string terminated(text);
+    return inet_pton(AF_INET, terminated.c_str(), &v4) == 1 || inet_pton(AF_INET6, terminated.c_str(), &v6) == 1;
 }
 
-bool isLoopback(std::string_view address)
+bool isLoopbackAddress(std::string_view address)
 {
-    return isIpNumber(address) && (address.starts_with("127.") || address == "::1");
+    return isIpAddress(address) && (address.starts_with("127.") || address == "::1");
 }
 
 bool isPort(std::string_view text)
@@ -129,7 +130,7 @@
 }
 
 /// Returns the IP address in "http://ADDRESS:PORT/...", or an empty view if the URL is not valid.
-std::string_view addressOf(std::string_view url)
+std::string_view ipAddressOf(std::string_view url)
 {
     constexpr std::string_view scheme = "http://";
     if (!url.starts_with(scheme)) {
@@ -144,14 +145,14 @@
     if (address.starts_with('[') && address.ends_with(']')) {
         address = address.substr(1, address.size() - 2);
     }
-    return isIpNumber(address) ? address : std::string_view{};
+    return isIpAddress(address) ? address : std::string_view{};
 }
 
 bool isName(std::string_view text)
 {
-    constexpr std::size_t longestName = 128;
+    constexpr std::size_t maxNameLength = 128;
     const auto allowed = [](unsigned char c) { return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.'; };
-    return !text.empty() && text.size() <= longestName && std::all_of(text.begin(), text.end(), allowed);
+    return !text.empty() && text.size() <= maxNameLength && std::all_of(text.begin(), text.end(), allowed);
 }
 
 } // namespace
@@ -171,60 +172,60 @@
     return flagTable;
 }
 
-bool matches(TextForm form, std::string_view text)
+bool matches(TextFormat format, std::string_view text)
 {
-    switch (form) {
-    case TextForm::Any:
+    switch (format) {
+    case TextFormat::Any:
         return true;
-    case TextForm::Name:
+    case TextFormat::Name:
         return isName(text);
-    case TextForm::IpNumber:
-        return isIpNumber(text);
-    case TextForm::LoopbackNumber:
-        return isLoopback(text);
-    case TextForm::Url:
-        return !addressOf(text).empty();
-    case TextForm::AddressPort:
-        return !addressOf("http://" + std::string(text)).empty();
-    case TextForm::LoopbackUrl:
-        return isLoopback(addressOf(text));
-    case TextForm::NameList:
+    case TextFormat::IpAddress:
+        return isIpAddress(text);
+    case TextFormat::LoopbackAddress:
+        return isLoopbackAddress(text);
+    case TextFormat::Url:
+        return !ipAddressOf(text).empty();
+    case TextFormat::AddressPort:
+        return !ipAddressOf("http://" + std::string(text)).empty();
+    case TextFormat::LoopbackUrl:
+        return isLoopbackAddress(ipAddressOf(text));
+    case TextFormat::NameList:
         return std::all_of(text.begin(), text.end(),
                            [](unsigned char c) { return std::isalnum(c) != 0 || c == '_' || c == ','; });
-    case TextForm::Role:
+    case TextFormat::Role:
         return text == "entry" || text == "sidecar" || text == "direct-entry" || text == "direct-sidecar";
-    case TextForm::EndpointKind:
+    case TextFormat::EndpointKind:
         return text == "engine" || text == "service";
-    case TextForm::LogLevel:
+    case TextFormat::LogLevel:
         return fromString<LogLevel>(text).has_value();
     }
     return false;
 }
 
-std::string_view describe(TextForm form)
+std::string_view describe(TextFormat format)
 {
-    switch (form) {
-    case TextForm::Any:
+    switch (format) {
+    case TextFormat::Any:
         return "text";
-    case TextForm::Name:
+    case TextFormat::Name:
         return "letters, digits, - _ .";
-    case TextForm::IpNumber:
+    case TextFormat::IpAddress:
         return "IP number";
-    case TextForm::LoopbackNumber:
+    case TextFormat::LoopbackAddress:
         return "loopback IP number";
-    case TextForm::Url:
+    case TextFormat::Url:
         return "http://IP:PORT[/path]";
-    case TextForm::AddressPort:
+    case TextFormat::AddressPort:
         return "IP:PORT";
-    case TextForm::LoopbackUrl:
+    case TextFormat::LoopbackUrl:
         return "http://LOOPBACK-IP:PORT";
-    case TextForm::NameList:
+    case TextFormat::NameList:
         return "names, separated by commas";
-    case TextForm::Role:
+    case TextFormat::Role:
         return "entry, sidecar, direct-entry, direct-sidecar";
-    case TextForm::EndpointKind:
+    case TextFormat::EndpointKind:
         return "engine, service";
-    case TextForm::LogLevel:
+    case TextFormat::LogLevel:
         return "debug, info, warn, error";
     }
     return "";
--- a/src/settings/rules.h
+++ b/src/settings/rules.h
@@ -23,17 +23,17 @@
 {
     std::string_view path;
     Scope scope;
-    double initial;
-    double least;
-    double most;
-    std::string_view meaning;
+    double defaultValue;
+    double minValue;
+    double maxValue;
+    std::string_view description;
 };
 
-enum class TextForm : std::uint8_t {
+enum class TextFormat : std::uint8_t {
     Any,
     Name, ///< letters, digits, '-', '_', '.'
-    IpNumber,
-    LoopbackNumber,
+    IpAddress,
+    LoopbackAddress,
     AddressPort,
     Url, ///< http://IP:PORT with an optional path
     LoopbackUrl,
@@ -47,25 +47,25 @@
 {
     std::string_view path;
     Scope scope;
-    TextForm form;
+    TextFormat format;
     bool required;
-    std::string_view initial;
-    std::string_view meaning;
+    std::string_view defaultValue;
+    std::string_view description;
 };
 
 struct FlagRule
 {
     std::string_view path;
     Scope scope;
-    bool initial;
-    std::string_view meaning;
+    bool defaultValue;
+    std::string_view description;
 };
 
 std::span<const NumberRule> numbers();
 std::span<const TextRule> texts();
 std::span<const FlagRule> flags();
-bool matches(TextForm form, std::string_view text);
-std::string_view describe(TextForm form);
+bool matches(TextFormat format, std::string_view text);
+std::string_view describe(TextFormat format);
 std::string_view describe(Scope scope);
 /// Returns true if a process of `role` reads settings of this scope.
 bool applies(Scope scope, std::string_view role);
--- a/src/settings/schema_check.cpp
+++ b/src/settings/schema_check.cpp
@@ -40,11 +40,11 @@
         return std::nullopt;
     }
     if (number != std::floor(number)) {
-        return wrongType(path, "a whole number");
+        return wrongType(path, "an integer");
     }
-    constexpr double largest = 4294967295.0;
-    if (number < 0 || (field.cpp_type() == FieldDescriptor::CPPTYPE_UINT32 && number > largest)) {
-        return SettingsError{SettingsErrorKind::OutOfRange, path, "not a 32-bit count"};
+    constexpr double maxUint32 = 4294967295.0;
+    if (number < 0 || (field.cpp_type() == FieldDescriptor::CPPTYPE_UINT32 && number > maxUint32)) {
+        return SettingsError{SettingsErrorKind::OutOfRange, path, "not an unsigned 32-bit integer"};
     }
     return std::nullopt;
 }
@@ -53,7 +53,7 @@
 {
     switch (field.cpp_type()) {
     case FieldDescriptor::CPPTYPE_STRING:
-        return value.kind_case() == Value::kStringValue ? std::nullopt : std::optional(wrongType(path, "a text"));
+        return value.kind_case() == Value::kStringValue ? std::nullopt : std::optional(wrongType(path, "a string"));
     case FieldDescriptor::CPPTYPE_BOOL:
         return value.kind_case() == Value::kBoolValue ? std::nullopt : std::optional(wrongType(path, "true or false"));
     case FieldDescriptor::CPPTYPE_MESSAGE:
@@ -72,7 +72,7 @@
         return checkValue(value, field, path);
     }
     if (value.kind_case() != Value::kListValue) {
-        return wrongType(path, "a list");
+        return wrongType(path, "an array");
     }
     for (int i = 0; i < value.list_value().values_size(); ++i) {
         auto error = checkValue(value.list_value().values(i), field, path + "[" + std::to_string(i) + "]");
@@ -106,7 +106,7 @@
     for (const std::string &name : names) {
         const FieldDescriptor *field = fieldByJsonName(type, name);
         if (field == nullptr) {
-            return SettingsError{SettingsErrorKind::UnknownField, prefix + name, "no such field"};
+            return SettingsError{SettingsErrorKind::UnknownField, prefix + name, "unknown field"};
         }
         auto error = checkField(tree.fields().at(name), *field, prefix + name);
         if (error) {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -21,14 +21,14 @@
 using settings::Settings;
 using settings_rules::Scope;
 
-struct FieldPlace
+struct FieldRef
 {
     Message *message;
     const FieldDescriptor *field;
 };
 
 /// Returns the field at a path and creates missing parent messages.
-FieldPlace placeOf(Message &message, std::string_view path)
+FieldRef fieldAt(Message &message, std::string_view path)
 {
     const auto dot = path.find('.');
     const std::string name(path.substr(0, dot));
@@ -36,21 +36,21 @@
     if (dot == std::string_view::npos) {
         return {&message, field};
     }
-    return placeOf(*message.GetReflection()->MutableMessage(&message, field), path.substr(dot + 1));
+    return fieldAt(*message.GetReflection()->MutableMessage(&message, field), path.substr(dot + 1));
 }
 
 void setNumber(Message &message, std::string_view path, double value)
 {
-    const FieldPlace place = placeOf(message, path);
-    const auto *reflection = place.message->GetReflection();
-    if (place.field->cpp_type() == FieldDescriptor::CPPTYPE_DOUBLE) {
-        reflection->SetDouble(place.message, place.field, value);
+    const FieldRef target = fieldAt(message, path);
+    const auto *reflection = target.message->GetReflection();
+    if (target.field->cpp_type() == FieldDescriptor::CPPTYPE_DOUBLE) {
+        reflection->SetDouble(target.message, target.field, value);
     } else {
-        reflection->SetUInt32(place.message, place.field, static_cast<std::uint32_t>(value));
+        reflection->SetUInt32(target.message, target.field, static_cast<std::uint32_t>(value));
     }
 }
 
-std::string plain(double value)
+std::string formatNumber(double value)
 {
     std::ostringstream out;
     out.precision(12);
@@ -66,13 +66,14 @@
         }
         const Value *value = findValue(tree, rule.path);
         if (value == nullptr) {
-            setNumber(into, rule.path, rule.initial);
+            setNumber(into, rule.path, rule.defaultValue);
             continue;
         }
         const double number = value->number_value();
-        if (number < rule.least || number > rule.most) {
+        if (number < rule.minValue || number > rule.maxValue) {
             return SettingsError{SettingsErrorKind::OutOfRange, std::string(rule.path),
-                                 plain(number) + " is not between " + plain(rule.least) + " and " + plain(rule.most)};
+                                 formatNumber(number) + " is not between " + formatNumber(rule.minValue) + " and "
+                                     + formatNumber(rule.maxValue)};
         }
     }
     return std::nullopt;
@@ -88,14 +89,14 @@
         }
         return std::nullopt;
     }
-    if (!settings_rules::matches(rule.form, value.string_value())) {
+    if (!settings_rules::matches(rule.format, value.string_value())) {
         return SettingsError{SettingsErrorKind::OutOfRange, std::string(rule.path),
-                             "expected " + std::string(settings_rules::describe(rule.form))};
+                             "expected " + std::string(settings_rules::describe(rule.format))};
     }
     return std::nullopt;
 }
 
-bool isEmpty(const Value *value)
+bool isMissingOrEmpty(const Value *value)
 {
     if (value == nullptr) {
         return true;
@@ -113,13 +114,14 @@
             continue;
         }
         const Value *value = findValue(tree, rule.path);
-        if (isEmpty(value)) {
+        if (isMissingOrEmpty(value)) {
             if (rule.required) {
-                return SettingsError{SettingsErrorKind::Missing, std::string(rule.path), std::string(rule.meaning)};
+                return SettingsError{SettingsErrorKind::Missing, std::string(rule.path), std::string(rule.description)};
             }
-            const FieldPlace place = placeOf(into, rule.path);
-            if (!place.field->is_repeated()) {
-                place.message->GetReflection()->SetString(place.message, place.field, std::string(rule.initial));
+            const FieldRef target = fieldAt(into, rule.path);
+            if (!target.field->is_repeated()) {
+                target.message->GetReflection()->SetString(target.message, target.field,
+                                                           std::string(rule.defaultValue));
             }
             continue;
         }
@@ -130,12 +132,12 @@
     return std::nullopt;
 }
 
-void fillFlags(const Struct &tree, Settings &into)
+void fillInFlags(const Struct &tree, Settings &into)
 {
     for (const auto &rule : settings_rules::flags()) {
         if (settings_rules::applies(rule.scope, into.role()) && findValue(tree, rule.path) == nullptr) {
-            const FieldPlace place = placeOf(into, rule.path);
-            place.message->GetReflection()->SetBool(place.message, place.field, rule.initial);
+            const FieldRef target = fieldAt(into, rule.path);
+            target.message->GetReflection()->SetBool(target.message, target.field, rule.defaultValue);
         }
     }
 }
@@ -156,29 +158,30 @@
     return {SettingsErrorKind::Contradiction, std::move(path), std::move(detail)};
 }
 
-std::optional<SettingsError> checkRoleParts(const Settings &given)
+std::optional<SettingsError> checkRoleSections(const Settings &parsed)
 {
-    const bool direct = settings_rules::applies(Scope::Direct, given.role());
-    if (given.has_sidecar() && given.role() != "sidecar") {
-        return contradiction("sidecar", "only the role sidecar has sidecar settings");
+    const bool direct = settings_rules::applies(Scope::Direct, parsed.role());
+    if (parsed.has_sidecar() && parsed.role() != "sidecar") {
+        return contradiction("sidecar", "only valid for the role sidecar");
     }
-    if (given.has_entry() && given.role() != "entry") {
-        return contradiction("entry", "only the role entry has entry settings");
+    if (parsed.has_entry() && parsed.role() != "entry") {
+        return contradiction("entry", "only valid for the role entry");
     }
-    if (given.has_direct() && !direct) {
-        return contradiction("direct", "only the roles of the direct path have direct settings");
+    if (parsed.has_direct() && !direct) {
+        return contradiction("direct", "only valid for the roles direct-entry and direct-sidecar");
     }
-    if (given.has_platform() && direct) {
-        return contradiction("platform", "the direct path has its store in direct.store");
+    if (parsed.has_platform() && direct) {
+        return contradiction("platform", "the direct path configures its store in direct.store");
     }
     return std::nullopt;
 }
 
 std::optional<SettingsError> checkTiming(const settings::Timing &timing)
 {
-    constexpr std::uint32_t beatsBeforeSuspicion = 3;
-    if (timing.suspect_ms() < beatsBeforeSuspicion * timing.heartbeat_ms()) {
-        return contradiction("timing.suspectMs", "less than three heartbeats: one lost message would be suspicion");
+    constexpr std::uint32_t minHeartbeatsPerSuspectTime = 3;
+    if (timing.suspect_ms() < minHeartbeatsPerSuspectTime * timing.heartbeat_ms()) {
+        return contradiction("timing.suspectMs",
+                             "less than three heartbeat intervals: one lost message would cause a suspicion");
     }
     if (timing.lease_ms() == 0) {
         return std::nullopt; // the direct path uses no leases
@@ -193,9 +196,9 @@
 // The other delays of the store calls are fractions of the same bound and assume at most this share for the pause.
 std::optional<SettingsError> checkStorePause(const settings::Direct &direct)
 {
-    constexpr std::uint32_t mostPercent = 45;
+    constexpr std::uint32_t maxPercent = 45;
     const auto bound = std::min(direct.leave_ms(), direct.config_ms());
-    if (std::uint64_t{direct.store_pause_ms()} * 100 > std::uint64_t{bound} * mostPercent) {
+    if (std::uint64_t{direct.store_pause_ms()} * 100 > std::uint64_t{bound} * maxPercent) {
         return contradiction("direct.storePauseMs", "more than 45 % of direct.leaveMs or direct.configMs");
     }
     return std::nullopt;
@@ -204,30 +207,30 @@
 std::optional<SettingsError> checkSidecar(const settings::Sidecar &sidecar)
 {
     if (sidecar.endpoint_kind() == "engine" && sidecar.base_model().empty()) {
-        return SettingsError{SettingsErrorKind::Missing, "sidecar.baseModel", "an engine serves a base model"};
+        return SettingsError{SettingsErrorKind::Missing, "sidecar.baseModel", "required for an engine endpoint"};
     }
     if (sidecar.endpoint_kind() == "service" && sidecar.services().empty()) {
-        return SettingsError{SettingsErrorKind::Missing, "sidecar.services", "a service endpoint gives some service"};
+        return SettingsError{SettingsErrorKind::Missing, "sidecar.services", "required for a service endpoint"};
     }
     return std::nullopt;
 }
 
-std::optional<SettingsError> checkTogether(const Settings &whole)
+std::optional<SettingsError> checkConsistency(const Settings &parsed)
 {
-    if (auto error = checkTiming(whole.timing())) {
+    if (auto error = checkTiming(parsed.timing())) {
         return error;
     }
-    if (whole.role() == "direct-entry") {
-        return checkStorePause(whole.direct());
+    if (parsed.role() == "direct-entry") {
+        return checkStorePause(parsed.direct());
     }
-    return whole.role() == "sidecar" ? checkSidecar(whole.sidecar()) : std::nullopt;
+    return parsed.role() == "sidecar" ? checkSidecar(parsed.sidecar()) : std::nullopt;
 }
 
-std::string row(std::string_view path, Scope scope, const std::string &initial, const std::string &range,
-                std::string_view meaning)
+std::string tableRow(std::string_view path, Scope scope, const std::string &defaultValue, const std::string &range,
+                     std::string_view description)
 {
-    return "| `" + std::string(path) + "` | " + std::string(settings_rules::describe(scope)) + " | " + initial + " | "
-           + range + " | " + std::string(meaning) + " |\n";
+    return "| `" + std::string(path) + "` | " + std::string(settings_rules::describe(scope)) + " | " + defaultValue
+           + " | " + range + " | " + std::string(description) + " |\n";
 }
 
 } // namespace
@@ -246,7 +249,7 @@
     if (!status.ok()) {
         return tl::unexpected(SettingsError{SettingsErrorKind::BadJson, "", status.ToString()});
     }
-    if (auto error = checkRoleParts(result)) {
+    if (auto error = checkRoleSections(result)) {
         return tl::unexpected(std::move(*error));
     }
     if (auto error = checkTexts(*tree, result)) {
@@ -255,12 +258,12 @@
     if (auto error = checkNumbers(*tree, result)) {
         return tl::unexpected(std::move(*error));
     }
-    fillFlags(*tree, result);
+    fillInFlags(*tree, result);
     splitListen(*result.mutable_http());
     if (result.role() == "direct-entry") {
         splitListen(*result.mutable_direct()->mutable_ready());
     }
-    if (auto error = checkTogether(result)) {
+    if (auto error = checkConsistency(result)) {
         return tl::unexpected(std::move(*error));
     }
     return result;
@@ -278,25 +281,25 @@
 
 bool isRole(std::string_view role)
 {
-    return settings_rules::matches(settings_rules::TextForm::Role, role);
+    return settings_rules::matches(settings_rules::TextFormat::Role, role);
 }
 
 std::string printDefaults(std::string_view role)
 {
     Settings defaults;
     defaults.set_role(std::string(role));
-    const Struct nothing;
+    const Struct emptyTree;
     for (const auto &rule : settings_rules::texts()) {
         if (rule.path == "role" || !settings_rules::applies(rule.scope, role)) {
             continue;
         }
-        const FieldPlace place = placeOf(defaults, rule.path);
-        if (!place.field->is_repeated()) {
-            place.message->GetReflection()->SetString(place.message, place.field, std::string(rule.initial));
+        const FieldRef target = fieldAt(defaults, rule.path);
+        if (!target.field->is_repeated()) {
+            target.message->GetReflection()->SetString(target.message, target.field, std::string(rule.defaultValue));
         }
     }
-    checkNumbers(nothing, defaults);
-    fillFlags(nothing, defaults);
+    checkNumbers(emptyTree, defaults);
+    fillInFlags(emptyTree, defaults);
     google::protobuf::util::JsonPrintOptions options;
     options.add_whitespace = true;
     options.always_print_primitive_fields = true;
@@ -309,16 +312,18 @@
 {
     std::string page = "| field | role | default | range | meaning |\n| --- | --- | --- | --- | --- |\n";
     for (const auto &rule : settings_rules::texts()) {
-        const std::string given = rule.initial.empty() ? "empty" : "`" + std::string(rule.initial) + "`";
-        const std::string initial = rule.required ? "required" : given;
-        page += row(rule.path, rule.scope, initial, std::string(settings_rules::describe(rule.form)), rule.meaning);
+        const std::string shownDefault =
+            rule.defaultValue.empty() ? "empty" : "`" + std::string(rule.defaultValue) + "`";
+        const std::string defaultValue = rule.required ? "required" : shownDefault;
+        page += tableRow(rule.path, rule.scope, defaultValue, std::string(settings_rules::describe(rule.format)),
+                         rule.description);
     }
     for (const auto &rule : settings_rules::numbers()) {
-        const std::string range = plain(rule.least) + " to " + plain(rule.most);
-        page += row(rule.path, rule.scope, plain(rule.initial), range, rule.meaning);
+        const std::string range = formatNumber(rule.minValue) + " to " + formatNumber(rule.maxValue);
+        page += tableRow(rule.path, rule.scope, formatNumber(rule.defaultValue), range, rule.description);
     }
     for (const auto &rule : settings_rules::flags()) {
-        page += row(rule.path, rule.scope, rule.initial ? "true" : "false", "true, false", rule.meaning);
+        page += tableRow(rule.path, rule.scope, rule.defaultValue ? "true" : "false", "true, false", rule.description);
     }
     return page;
 }
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -13,16 +13,16 @@
 namespace {
 
 using Axis = boost::histogram::axis::variable<>;
-using Storage = decltype(boost::histogram::make_weighted_histogram(std::declval<Axis>()));
+using WeightedHistogram = decltype(boost::histogram::make_weighted_histogram(std::declval<Axis>()));
 
-std::string number(double value)
+std::string formatNumber(double value)
 {
     std::array<char, 32> text{};
     const auto end = std::to_chars(text.data(), text.data() + text.size(), value).ptr;
     return {text.data(), end};
 }
 
-void appendHead(std::string &out, std::string_view name, std::string_view help, std::string_view type)
+void appendHeader(std::string &out, std::string_view name, std::string_view help, std::string_view type)
 {
     out.append("# HELP ").append(name).append(" ").append(help).append("\n");
     out.append("# TYPE ").append(name).append(" ").append(type).append("\n");
@@ -42,7 +42,7 @@
     std::string name;
     std::string help;
     mutable std::mutex mutex;
-    Storage histogram; // guarded by mutex
+    WeightedHistogram histogram; // guarded by mutex
     double sum = 0.0; // guarded by mutex
 };
 
@@ -63,39 +63,39 @@
 void HistogramMetric::render(std::string &out) const
 {
     const std::scoped_lock lock(impl_->mutex);
-    appendHead(out, impl_->name, impl_->help, "histogram");
+    appendHeader(out, impl_->name, impl_->help, "histogram");
     const auto &axis = impl_->histogram.axis();
     double cumulative = impl_->histogram.at(-1).value();
     for (int i = 0; i < axis.size(); ++i) {
         cumulative += impl_->histogram.at(i).value();
-        out.append(impl_->name).append("_bucket{le=\"").append(number(axis.bin(i).upper())).append("\"} ");
-        out.append(number(cumulative)).append("\n");
+        out.append(impl_->name).append("_bucket{le=\"").append(formatNumber(axis.bin(i).upper())).append("\"} ");
+        out.append(formatNumber(cumulative)).append("\n");
     }
     cumulative += impl_->histogram.at(axis.size()).value();
-    out.append(impl_->name).append("_bucket{le=\"+Inf\"} ").append(number(cumulative)).append("\n");
-    out.append(impl_->name).append("_sum ").append(number(impl_->sum)).append("\n");
-    out.append(impl_->name).append("_count ").append(number(cumulative)).append("\n");
+    out.append(impl_->name).append("_bucket{le=\"+Inf\"} ").append(formatNumber(cumulative)).append("\n");
+    out.append(impl_->name).append("_sum ").append(formatNumber(impl_->sum)).append("\n");
+    out.append(impl_->name).append("_count ").append(formatNumber(cumulative)).append("\n");
 }
 
-void MetricsText::head(std::string_view name, std::string_view help, std::string_view type)
+void MetricsText::writeHeader(std::string_view name, std::string_view help, std::string_view type)
 {
-    appendHead(text_, name, help, type);
+    appendHeader(text_, name, help, type);
 }
 
 void MetricsText::counter(std::string_view name, std::string_view help, std::uint64_t value)
 {
-    head(name, help, "counter");
+    writeHeader(name, help, "counter");
     text_.append(name).append(" ").append(std::to_string(value)).append("\n");
 }
 
 void MetricsText::gauge(std::string_view name, std::string_view help, double value)
 {
-    head(name, help, "gauge");
-    text_.append(name).append(" ").append(number(value)).append("\n");
+    writeHeader(name, help, "gauge");
+    text_.append(name).append(" ").append(formatNumber(value)).append("\n");
 }
 
-void MetricsText::labelled(std::string_view name, std::string_view label, std::string_view labelValue,
-                           std::uint64_t value)
+void MetricsText::writeLabelled(std::string_view name, std::string_view label, std::string_view labelValue,
+                                std::uint64_t value)
 {
     text_.append(name).append("{").append(label).append("=\"").append(labelValue).append("\"} ");
     text_.append(std::to_string(value)).append("\n");
--- a/tests/unit/base_test.cpp
+++ b/tests/unit/base_test.cpp
@@ -25,7 +25,7 @@
     EXPECT_FALSE(timers.next());
 }
 
-TEST(TimerService, CancelledTimerDoesNotFireNorShow)
+TEST(TimerService, CancelledTimerNeitherFiresNorIsNext)
 {
     TimerService timers;
     int fired = 0;
@@ -39,7 +39,7 @@
     EXPECT_EQ(fired, 1);
 }
 
-TEST(TimerService, CallbackMayCancelAndSubscribe)
+TEST(TimerService, CallbackCanCancelAndSubscribe)
 {
     TimerService timers;
     int fired = 0;
@@ -53,7 +53,7 @@
     EXPECT_EQ(fired, 10);
 }
 
-RC_GTEST_PROP(Digest, SplitDoesNotMatter, (const std::string &text))
+RC_GTEST_PROP(Digest, IsIndependentOfSplit, (const std::string &text))
 {
     const auto cut = *rc::gen::inRange<std::size_t>(0, text.size() + 1);
     Digest whole;
@@ -64,7 +64,7 @@
     RC_ASSERT(whole.value() == parts.value());
 }
 
-TEST(Random, SameSeedSameNumbers)
+TEST(Random, SameSeedGivesSameSequence)
 {
     Random a(7);
     Random b(7);
@@ -74,7 +74,7 @@
 }
 
 template<class E>
-void expectNamesWhole()
+void expectNamesRoundTrip()
 {
     for (std::size_t i = 0; i < enumCount<E>; ++i) {
         const auto name = toString(static_cast<E>(i));
@@ -83,16 +83,16 @@
     }
 }
 
-TEST(EnumNames, EveryValueHasItsOwnName)
+TEST(EnumNames, NamesAreUniqueAndRoundTrip)
 {
-    expectNamesWhole<Verdict>();
-    expectNamesWhole<CallClass>();
-    expectNamesWhole<RefusalReason>();
-    expectNamesWhole<RetryReason>();
-    expectNamesWhole<CallOutcome>();
-    expectNamesWhole<FailureReason>();
-    expectNamesWhole<ResidencyState>();
-    expectNamesWhole<OrderOutcome>();
+    expectNamesRoundTrip<Verdict>();
+    expectNamesRoundTrip<CallClass>();
+    expectNamesRoundTrip<RefusalReason>();
+    expectNamesRoundTrip<RetryReason>();
+    expectNamesRoundTrip<CallOutcome>();
+    expectNamesRoundTrip<FailureReason>();
+    expectNamesRoundTrip<ResidencyState>();
+    expectNamesRoundTrip<OrderOutcome>();
 }
 
 } // namespace
--- a/tests/unit/settings_test.cpp
+++ b/tests/unit/settings_test.cpp
@@ -9,11 +9,11 @@
 namespace anvilscale {
 namespace {
 
-std::string entryWith(const std::string &more)
+std::string entryWith(const std::string &extraFields)
 {
     return R"({"role":"entry","name":"e1","dataCentre":"hall-east",)"
            R"("platform":{"keyValue":["http://127.0.0.1:2379"],"vmList":"http://127.0.0.1:81/vms"})"
-           + more + "}";
+           + extraFields + "}";
 }
 
 std::string sidecarWith(const std::string &sidecar)
@@ -31,14 +31,14 @@
            + direct + "}}";
 }
 
-struct BadCase
+struct InvalidCase
 {
     std::string json;
     SettingsErrorKind kind;
     std::string path;
 };
 
-TEST(Settings, DefaultsAreFilledIn)
+TEST(Settings, FillsInDefaults)
 {
     const auto result = parseSettings(entryWith(""));
     ASSERT_TRUE(result) << result.error().path << result.error().detail;
@@ -49,14 +49,14 @@
     EXPECT_FALSE(result->has_sidecar());
 }
 
-TEST(Settings, APauseThatTheBoundAllowsIsTaken)
+TEST(Settings, AcceptsPauseWithinBound)
 {
     const auto result = parseSettings(directEntryWith(R"(,"storePauseMs":900)"));
     ASSERT_TRUE(result) << result.error().path << result.error().detail;
     EXPECT_EQ(result->direct().store_pause_ms(), 900U);
 }
 
-TEST(Settings, GivenValuesStay)
+TEST(Settings, KeepsGivenValues)
 {
     const auto result = parseSettings(entryWith(R"(,"entry":{"schedulerCandidate":false,"trafficThreads":5})"));
     ASSERT_TRUE(result);
@@ -64,10 +64,10 @@
     EXPECT_EQ(result->entry().traffic_threads(), 5U);
 }
 
-TEST(Settings, EachFaultHasItsKindAndPath)
+TEST(Settings, ReportsKindAndPathOfEachFault)
 {
     const std::string engine = R"("endpoint":"http://127.0.0.1:8000","endpointKind":"engine")";
-    const std::vector<BadCase> cases{
+    const std::vector<InvalidCase> cases{
         {"{", SettingsErrorKind::BadJson, ""},
         {"[]", SettingsErrorKind::BadJson, ""},
         {entryWith(R"(,"entry":{"bodyLimit":1})"), SettingsErrorKind::UnknownField, "entry.bodyLimit"},
@@ -102,22 +102,23 @@
         {sidecarWith("{" + engine + R"(,"baseModel":"b","lock":{"address":"0.0.0.0"}})"), SettingsErrorKind::OutOfRange,
          "sidecar.lock.address"},
     };
-    for (const BadCase &bad : cases) {
-        const auto result = parseSettings(bad.json);
-        ASSERT_FALSE(result) << bad.json;
-        EXPECT_EQ(toString(result.error().kind), toString(bad.kind)) << bad.json << " " << result.error().detail;
-        EXPECT_EQ(result.error().path, bad.path) << bad.json;
+    for (const InvalidCase &invalid : cases) {
+        const auto result = parseSettings(invalid.json);
+        ASSERT_FALSE(result) << invalid.json;
+        EXPECT_EQ(toString(result.error().kind), toString(invalid.kind))
+            << invalid.json << " " << result.error().detail;
+        EXPECT_EQ(result.error().path, invalid.path) << invalid.json;
     }
 }
 
-TEST(Settings, DefaultsOfARoleAreValidOnceTheRequiredFieldsAreThere)
+TEST(Settings, DefaultsLackOnlyRequiredFields)
 {
     const auto error = parseSettings(printDefaults("sidecar"));
     ASSERT_FALSE(error);
     EXPECT_EQ(error.error().kind, SettingsErrorKind::Missing);
 }
 
-TEST(Settings, PageIsAsMadeFromTheRules)
+TEST(Settings, PageMatchesRules)
 {
     std::ifstream in("docs/settings.md");
     std::ostringstream text;
--- a/tests/unit/telemetry_test.cpp
+++ b/tests/unit/telemetry_test.cpp
@@ -19,7 +19,7 @@
     }
 }
 
-TEST(Events, FieldsAreQuotedForJson)
+TEST(Events, EscapesFieldsForJson)
 {
     const auto line =
         formatEvent(Event::CallFailed, {{"caller", std::string("a\"b\n")}, {"attempts", std::uint64_t(2)}});
@@ -27,7 +27,7 @@
     EXPECT_EQ(line.find("\"event\":500"), 0U);
 }
 
-TEST(Metrics, HistogramCountsCumulatively)
+TEST(Metrics, HistogramBucketsAreCumulative)
 {
     HistogramMetric metric("stall_seconds", "time", {0.0, 0.1, 1.0});
     metric.record(0.05);
@@ -41,7 +41,7 @@
     EXPECT_NE(text.text().find("stall_seconds_sum 7.55\n"), std::string::npos);
 }
 
-TEST(Metrics, EveryReasonHasALine)
+TEST(Metrics, WritesOneLinePerEnumValue)
 {
     Counters<RefusalReason> refusals;
     refusals.add(RefusalReason::QueueFull, 3);
