--- a/include/anvilscale/state.h
+++ b/include/anvilscale/state.h
@@ -150,9 +150,10 @@
     tl::expected<void, ConfigError> stage(const config::Snapshot &chunk);
     /// Checks changes against this revision and returns the digest after them, without applying them.
     tl::expected<std::uint64_t, ConfigError> validate(std::span<const config::Change> changes) const;
-    /// Returns what a peer at revision `have` is missing: the cached deltas, or a snapshot chunk if they do not reach
-    /// back far enough. A peer that is fetching a snapshot passes its revision and the next chunk.
-    wire::ConfigPush pushSince(std::uint64_t have, std::uint64_t snapshotRevision = 0, std::uint32_t part = 0) const;
+    /// Returns what a peer at revision `peerRevision` is missing: the cached deltas, or a snapshot chunk if they do not
+    /// reach back far enough. A peer that is fetching a snapshot passes its revision and the next chunk.
+    wire::ConfigPush pushSince(std::uint64_t peerRevision, std::uint64_t snapshotRevision = 0,
+                               std::uint32_t nextChunk = 0) const;
     /// Returns all records as written (adapters and routes in canonical form), for `anvilctl config get`.
     std::vector<config::Change> records() const;
     std::optional<std::string> recordText(std::string_view kind, std::string_view name) const;
@@ -241,7 +242,7 @@
         std::string key;
         std::string rangeEnd; ///< watches `key` alone if empty
         TimerService *timers = nullptr;
-        Duration longestWait = Seconds(10); ///< maximum backoff while the service is unreachable
+        Duration maxBackoff = Seconds(10); ///< maximum backoff while the service is unreachable
         std::uint64_t seed = 1;
     };
     /// `changed` receives all entries after a full read (`full`), otherwise only those changed or deleted.
@@ -252,7 +253,7 @@
     void stop();
     bool onReply(const KvReply &reply, Now now);
     /// Time of the last full read or event; nullopt before the first.
-    std::optional<TimePoint> lastAnswer() const;
+    std::optional<TimePoint> lastUpdateAt() const;
     /// Returns true while the watch is established.
     bool watching() const;
 
@@ -290,14 +291,14 @@
     struct Stats
     {
         std::uint64_t pushesSent = 0;
-        std::uint64_t pushesTaken = 0;
-        std::uint64_t pushesRefused = 0;
+        std::uint64_t pushesAccepted = 0;
+        std::uint64_t pushesRejected = 0;
         std::uint64_t fetchesSent = 0;
         std::uint64_t storeReads = 0; ///< reads from the key-value service
         std::uint64_t readFailures = 0;
         std::uint64_t applied = 0; ///< revisions applied
         std::uint64_t digestMismatches = 0;
-        std::uint64_t staleSpells = 0; ///< number of times that stale() became true
+        std::uint64_t stalePeriods = 0; ///< number of times that stale() became true
     };
     ConfigSpread(Init init, Callbacks callbacks);
     ~ConfigSpread();
@@ -417,9 +418,9 @@
     ~SeenKeys();
 
     /// Decides on a call with this key. `fingerprint` is a hash of method, path and body; a known key with another
-    /// fingerprint is refused as KeyReused. `takenAt` is the slot's takeover time plus margin; older keys are refused
-    /// with an unknown outcome. On Run the key is registered under `execution`.
-    KeyDecision admit(std::string_view key, std::uint64_t fingerprint, const ServiceView &service, WallTime takenAt,
+    /// fingerprint is refused as KeyReused. `minKeyTime` is the slot's takeover time plus margin; older keys are
+    /// refused with an unknown outcome. On Run the key is registered under `execution`.
+    KeyDecision admit(std::string_view key, std::uint64_t fingerprint, const ServiceView &service, WallTime minKeyTime,
                       ExecutionHandle execution, Now now);
     /// Releases the key of an execution that has certainly not reached the endpoint; the key may run again.
     void release(std::string_view key);
@@ -477,7 +478,7 @@
     void start(Now now);
     /// Updates the sidecars of the service that are alive and not leaving, including this one. Slots are divided evenly
     /// among them.
-    void onMembers(const std::vector<std::string> &names, Now now);
+    void onMembers(const std::vector<std::string> &memberNames, Now now);
     bool onReply(const KvReply &reply, Now now);
     /// Returns the current ownership. Must be checked directly before each effect.
     SlotOwnership owns(std::uint32_t slot, Now now) const;
--- a/src/state/byte_arena.cpp
+++ b/src/state/byte_arena.cpp
@@ -8,14 +8,14 @@
 std::uint32_t ByteArena::add(std::string_view bytes)
 {
     // Records always fit into a block: readRecord() limits their text to half of one.
-    if (fill_ + bytes.size() > blockBytes) {
+    if (lastBlockBytes_ + bytes.size() > blockBytes) {
         blocks_.push_back(std::make_unique_for_overwrite<char[]>(blockBytes)); // NOLINT(*-avoid-c-arrays)
-        fill_ = blocks_.size() == 1 ? 2 : 0; // positions 0 and 1 are reserved as index markers
+        lastBlockBytes_ = blocks_.size() == 1 ? 2 : 0; // positions 0 and 1 are reserved as index markers
     }
-    std::memcpy(blocks_.back().get() + fill_, bytes.data(), bytes.size());
-    const auto position = static_cast<std::uint32_t>(((blocks_.size() - 1) << blockBits) + fill_);
-    fill_ += bytes.size();
-    used_ += bytes.size();
+    std::memcpy(blocks_.back().get() + lastBlockBytes_, bytes.data(), bytes.size());
+    const auto position = static_cast<std::uint32_t>(((blocks_.size() - 1) << blockBits) + lastBlockBytes_);
+    lastBlockBytes_ += bytes.size();
+    usedBytes_ += bytes.size();
     return position;
 }
 
@@ -24,34 +24,34 @@
     return blocks_[position >> blockBits].get() + (position & (blockBytes - 1));
 }
 
-std::size_t ByteArena::used() const
+std::size_t ByteArena::usedBytes() const
 {
-    return used_;
+    return usedBytes_;
 }
 
-std::size_t ByteArena::capacity() const
+std::size_t ByteArena::capacityBytes() const
 {
     return blocks_.size() * blockBytes;
 }
 
-std::uint32_t TextPool::add(std::string_view text, bool always)
+std::uint32_t StringPool::add(std::string_view text, bool ignoreLimit)
 {
-    const auto known = numbers_.find(text);
-    if (known != numbers_.end()) {
-        return known->second;
+    const auto found = ids_.find(text);
+    if (found != ids_.end()) {
+        return found->second;
     }
-    if (texts_.size() >= limit && !always) {
+    if (storedTexts_.size() >= maxTexts && !ignoreLimit) {
         return 0;
     }
-    const std::string &kept = texts_.emplace_back(text);
-    const auto number = static_cast<std::uint32_t>(texts_.size());
-    numbers_.emplace(kept, number);
-    return number;
+    const std::string &stored = storedTexts_.emplace_back(text);
+    const auto id = static_cast<std::uint32_t>(storedTexts_.size());
+    ids_.emplace(stored, id);
+    return id;
 }
 
-std::string_view TextPool::at(std::uint32_t number) const
+std::string_view StringPool::at(std::uint32_t id) const
 {
-    return texts_[number - 1];
+    return storedTexts_[id - 1];
 }
 
 } // namespace anvilscale
--- a/src/state/byte_codec.h
+++ b/src/state/byte_codec.h
@@ -10,7 +10,7 @@
 class ByteWriter
 {
 public:
-    void number(std::uint64_t value)
+    void writeNumber(std::uint64_t value)
     {
         while (value >= 0x80) {
             bytes_ += static_cast<char>(value | 0x80);
@@ -18,9 +18,9 @@
         }
         bytes_ += static_cast<char>(value);
     }
-    void text(std::string_view value)
+    void writeText(std::string_view value)
     {
-        number(value.size());
+        writeNumber(value.size());
         bytes_ += value;
     }
     std::string take()
@@ -36,36 +36,36 @@
 class ByteReader
 {
 public:
-    explicit ByteReader(const char *at)
-        : at_(at)
-        , start_(at)
+    explicit ByteReader(const char *start)
+        : next_(start)
+        , start_(start)
     {
     }
-    std::uint64_t number()
+    std::uint64_t readNumber()
     {
         std::uint64_t value = 0;
         for (unsigned shift = 0;; shift += 7) {
-            const auto byte = static_cast<unsigned char>(*at_++);
+            const auto byte = static_cast<unsigned char>(*next_++);
             value |= static_cast<std::uint64_t>(byte & 0x7f) << shift;
             if (byte < 0x80) {
                 return value;
             }
         }
     }
-    std::string_view text()
+    std::string_view readText()
     {
-        const auto size = static_cast<std::size_t>(number());
-        const std::string_view value(at_, size);
-        at_ += size;
+        const auto size = static_cast<std::size_t>(readNumber());
+        const std::string_view value(next_, size);
+        next_ += size;
         return value;
     }
     std::size_t consumed() const
     {
-        return static_cast<std::size_t>(at_ - start_);
+        return static_cast<std::size_t>(next_ - start_);
     }
 
 private:
-    const char *at_;
+    const char *next_;
     const char *start_;
 };
 
--- a/src/state/config_reader.cpp
+++ b/src/state/config_reader.cpp
@@ -6,12 +6,12 @@
 namespace anvilscale {
 namespace {
 
-constexpr std::uint64_t deltasPerRead = 64;
+constexpr std::uint64_t maxDeltasPerRead = 64;
 // A store that is further behind reads the snapshot first, if there is one.
-constexpr std::uint64_t mostDeltas = 512;
-constexpr std::uint32_t mostHeadReads = 4;
+constexpr std::uint64_t maxDeltas = 512;
+constexpr std::uint32_t maxHeadReads = 4;
 
-std::string numbered(const char *format, std::uint64_t a, std::uint32_t b)
+std::string formatKeySuffix(const char *format, std::uint64_t a, std::uint32_t b)
 {
     std::array<char, 64> text{};
     std::snprintf(text.data(), text.size(), format, static_cast<unsigned long long>(a), b);
@@ -32,21 +32,21 @@
 
 std::string ConfigKeys::delta(std::uint64_t revision) const
 {
-    return prefix + "config/delta/" + numbered("%020llu", revision, 0);
+    return prefix + "config/delta/" + formatKeySuffix("%020llu", revision, 0);
 }
 
 std::string ConfigKeys::chunk(std::uint64_t revision, std::uint32_t chunk) const
 {
-    return prefix + "config/snapshot/" + numbered("%020llu/%05u", revision, chunk);
+    return prefix + "config/snapshot/" + formatKeySuffix("%020llu/%05u", revision, chunk);
 }
 
-ConfigReader::ConfigReader(std::string keyPrefix, ConfigStore *store, std::string_view part,
+ConfigReader::ConfigReader(std::string keyPrefix, ConfigStore *store, std::string_view component,
                            std::function<void(KvRequest)> submit, std::function<void(const Result &, Now)> done)
     : keys_{std::move(keyPrefix)}
     , store_(store)
     , submit_(std::move(submit))
     , done_(std::move(done))
-    , ids_("config-reader/" + std::string(part))
+    , ids_("config-reader/" + std::string(component))
 {
 }
 
@@ -67,7 +67,7 @@
     if (busy()) {
         return;
     }
-    headReads_ = 1;
+    headReadCount_ = 1;
     send(Step::Head, keys_.head(), {});
 }
 
@@ -109,13 +109,14 @@
     if (!reply.entries.empty()) {
         head_.modRevision = reply.entries.front().modRevision;
         if (!head_.head.ParseFromString(reply.entries.front().value)) {
-            finish(tl::unexpected(makeError(ConfigErrorKind::BadJson, "the head cannot be read", store_->revision())),
-                   now);
+            finish(
+                tl::unexpected(makeError(ConfigErrorKind::BadJson, "the head record is malformed", store_->revision())),
+                now);
             return;
         }
     }
-    const std::uint64_t have = store_->revision();
-    useSnapshot_ = head_.head.snapshot_revision() > have && head_.head.revision() - have > mostDeltas;
+    const std::uint64_t localRevision = store_->revision();
+    useSnapshot_ = head_.head.snapshot_revision() > localRevision && head_.head.revision() - localRevision > maxDeltas;
     proceed(now);
 }
 
@@ -125,20 +126,20 @@
     if (store_->revision() >= head_.head.revision()) {
         finish(head_, now);
     } else if (useSnapshot_) {
-        askChunk(0);
+        requestChunk(0);
     } else {
-        askDeltas();
+        requestDeltas();
     }
 }
 
-void ConfigReader::askDeltas()
+void ConfigReader::requestDeltas()
 {
     const std::uint64_t first = store_->revision() + 1;
-    const std::uint64_t end = std::min(head_.head.revision() + 1, first + deltasPerRead);
+    const std::uint64_t end = std::min(head_.head.revision() + 1, first + maxDeltasPerRead);
     send(Step::Deltas, keys_.delta(first), keys_.delta(end));
 }
 
-void ConfigReader::askChunk(std::uint32_t chunk)
+void ConfigReader::requestChunk(std::uint32_t chunk)
 {
     chunk_ = chunk;
     send(Step::Chunk, keys_.chunk(head_.head.snapshot_revision(), chunk), {});
@@ -146,7 +147,7 @@
 
 void ConfigReader::onDeltas(const KvReply &reply, Now now)
 {
-    const std::uint64_t before = store_->revision();
+    const std::uint64_t previousRevision = store_->revision();
     for (const auto &entry : reply.entries) {
         config::Delta delta;
         if (!delta.ParseFromString(entry.value) || delta.revision() != store_->revision() + 1) {
@@ -157,10 +158,10 @@
             return;
         }
     }
-    if (store_->revision() == before) { // compacted since the head was read; a newer snapshot contains them
-        useSnapshot_ = head_.head.snapshot_revision() > before;
-        if (!useSnapshot_ && ++headReads_ > mostHeadReads) {
-            finish(tl::unexpected(makeError(ConfigErrorKind::NotNext, "a delta is missing", before)), now);
+    if (store_->revision() == previousRevision) { // compacted since the head was read; a newer snapshot contains them
+        useSnapshot_ = head_.head.snapshot_revision() > previousRevision;
+        if (!useSnapshot_ && ++headReadCount_ > maxHeadReads) {
+            finish(tl::unexpected(makeError(ConfigErrorKind::NotNext, "a delta is missing", previousRevision)), now);
             return;
         }
         if (!useSnapshot_) {
@@ -174,9 +175,9 @@
 void ConfigReader::onChunk(const KvReply &reply, Now now)
 {
     config::Snapshot chunk;
-    const bool found = !reply.entries.empty() && chunk.ParseFromString(reply.entries.front().value);
-    if (!found) { // replaced by a newer snapshot
-        if (++headReads_ > mostHeadReads) {
+    const bool isFound = !reply.entries.empty() && chunk.ParseFromString(reply.entries.front().value);
+    if (!isFound) { // replaced by a newer snapshot
+        if (++headReadCount_ > maxHeadReads) {
             finish(tl::unexpected(makeError(ConfigErrorKind::NotNext, "a chunk is missing", store_->revision())), now);
         } else {
             send(Step::Head, keys_.head(), {});
@@ -188,7 +189,7 @@
         return;
     }
     if (chunk_ + 1 < chunk.chunks()) {
-        askChunk(chunk_ + 1);
+        requestChunk(chunk_ + 1);
         return;
     }
     useSnapshot_ = false;
--- a/src/state/config_reader.h
+++ b/src/state/config_reader.h
@@ -19,7 +19,7 @@
 };
 
 /// Head record with the modification revision of its key, for compare-and-swap.
-struct HeadRead
+struct StoredHead
 {
     config::Head head;
     std::int64_t modRevision = 0; ///< 0 if there is no head yet
@@ -28,9 +28,9 @@
 class ConfigReader
 {
 public:
-    using Result = tl::expected<HeadRead, ConfigError>;
+    using Result = tl::expected<StoredHead, ConfigError>;
 
-    ConfigReader(std::string keyPrefix, ConfigStore *store, std::string_view part,
+    ConfigReader(std::string keyPrefix, ConfigStore *store, std::string_view component,
                  std::function<void(KvRequest)> submit, std::function<void(const Result &, Now)> done);
     /// Starts a read. Ignored while another one is running.
     void read(Now now);
@@ -46,8 +46,8 @@
     };
     void send(Step step, std::string key, std::string rangeEnd);
     void proceed(Now now);
-    void askDeltas();
-    void askChunk(std::uint32_t chunk);
+    void requestDeltas();
+    void requestChunk(std::uint32_t chunk);
     void onHead(const KvReply &reply, Now now);
     void onDeltas(const KvReply &reply, Now now);
     void onChunk(const KvReply &reply, Now now);
@@ -57,13 +57,13 @@
     ConfigStore *store_;
     std::function<void(KvRequest)> submit_;
     std::function<void(const Result &, Now)> done_;
-    KvIds ids_;
+    KvRequestIds ids_;
     Step step_ = Step::Idle;
     KvHandle pending_;
-    HeadRead head_;
+    StoredHead head_;
     std::uint32_t chunk_ = 0;
     bool useSnapshot_ = false;
-    std::uint32_t headReads_ = 0; // head reads of this run; referenced data may be compacted meanwhile
+    std::uint32_t headReadCount_ = 0; // head reads of this run; referenced data may be compacted meanwhile
 };
 
 } // namespace anvilscale
--- a/src/state/config_spread.cpp
+++ b/src/state/config_spread.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr Duration fetchTimeout = Seconds(2);
-constexpr Duration firstWait = Milliseconds(200);
+constexpr Duration initialBackoff = Milliseconds(200);
 // Poll intervals without confirmation after which a process that is not a watcher reads the service itself.
-constexpr int lonelyPolls = 4;
+constexpr int unconfirmedPolls = 4;
 // Heartbeats that a peer has for reporting a pushed revision before it is pushed again.
-constexpr int pushHeartbeats = 3;
+constexpr int heartbeatsPerPush = 3;
 
 } // namespace
 
@@ -33,50 +33,50 @@
     Random random;
     Backoff backoff;
     ConfigReader reader;
-    std::optional<LeaseKeeper> lease; // one of the data centre's watcher leases
-    std::optional<KeyFollower> follower; // watches the head while the lease is held
+    std::optional<LeaseKeeper> watcherLease; // one of the data centre's watcher leases
+    std::optional<KeyFollower> headWatch; // watches the head while the lease is held
     std::map<std::string, Peer> peers;
-    std::string fetchingFrom; // empty if no fetch is in progress
+    std::string fetchPeer; // empty if no fetch is in progress
     std::uint64_t snapshotRevision = 0; // revision of the snapshot being fetched; 0 if none
     std::uint32_t nextChunk = 0;
-    std::uint64_t announced = 0; // revision at the last call of `changed`
+    std::uint64_t reportedRevision = 0; // revision at the last call of `changed`
     TimerHandle pollTimer;
     TimerHandle catchUpTimer;
     TimerHandle fetchTimer;
     TimerHandle pushTimer;
     TimerHandle staleTimer;
     TimePoint confirmedAt; // last time the store was confirmed to be at the head
-    bool confirmedOnce = false;
+    bool wasConfirmed = false;
     bool isStale = false;
     Stats stats;
 
-    Impl(Init from, Callbacks to);
+    Impl(Init initValue, Callbacks callbackSet);
     ~Impl();
     LeaseKeeper::Init leaseInit();
-    void arm(TimerHandle &timer, Duration wait, Now now, void (Impl::*what)(Now));
+    void startTimer(TimerHandle &timer, Duration wait, Now now, void (Impl::*callback)(Now));
     void poll(Now now);
     void readStore(Now now);
     void onRead(const ConfigReader::Result &result, Now now);
-    void followHead(Now now);
+    void updateHeadWatch(Now now);
     void catchUp(Now now);
     void sendFetch(const std::string &peer, Now now);
     void onFetchTimeout(Now now);
     void endFetch();
-    void moved(Now now);
+    void onStoreChanged(Now now);
     void pushToPeers(Now now);
     void confirm(TimePoint at);
     void checkStale(Now now);
-    void takeDeltas(const wire::ConfigPush &push, Now now);
-    void takeChunk(const wire::ConfigPush &push, Now now);
-    void refuse(const ConfigError &error, Now now);
+    void applyDeltas(const wire::ConfigPush &push, Now now);
+    void applyChunk(const wire::ConfigPush &push, Now now);
+    void reportRejected(const ConfigError &error, Now now);
 };
 
-ConfigSpread::Impl::Impl(Init from, Callbacks to)
-    : init(std::move(from))
-    , callbacks(std::move(to))
+ConfigSpread::Impl::Impl(Init initValue, Callbacks callbackSet)
+    : init(std::move(initValue))
+    , callbacks(std::move(callbackSet))
     , keys{init.keyPrefix}
     , random(init.seed)
-    , backoff(firstWait, init.timing.configPoll * 4)
+    , backoff(initialBackoff, init.timing.configPoll * 4)
     , reader(init.keyPrefix, init.store, "spread/" + init.self, callbacks.submit,
              [this](const ConfigReader::Result &result, Now now) { onRead(result, now); })
 {
@@ -92,25 +92,25 @@
 LeaseKeeper::Init ConfigSpread::Impl::leaseInit()
 {
     const auto number = init.watchers == 0 ? 0 : hash64(init.self) % init.watchers;
-    LeaseKeeper::Init from;
-    from.key = init.keyPrefix + "watch/" + init.dataCentre + "/" + std::to_string(number);
-    from.holder = init.self;
-    from.incarnation = init.incarnation;
-    from.timing = init.timing;
-    from.timers = init.timers;
-    from.seed = random.next();
-    return from;
+    LeaseKeeper::Init result;
+    result.key = init.keyPrefix + "watch/" + init.dataCentre + "/" + std::to_string(number);
+    result.holder = init.self;
+    result.incarnation = init.incarnation;
+    result.timing = init.timing;
+    result.timers = init.timers;
+    result.seed = random.next();
+    return result;
 }
 
 /// Starts the timer unless it is already running.
-void ConfigSpread::Impl::arm(TimerHandle &timer, Duration wait, Now now, void (Impl::*what)(Now))
+void ConfigSpread::Impl::startTimer(TimerHandle &timer, Duration wait, Now now, void (Impl::*callback)(Now))
 {
     if (timer) {
         return;
     }
-    timer = init.timers->subscribe(now.mono + wait, [this, &timer, what, now](TimePoint at) {
+    timer = init.timers->subscribe(now.mono + wait, [this, &timer, callback, now](TimePoint at) {
         timer = {};
-        (this->*what)(laterNow(now, at));
+        (this->*callback)(advanceNow(now, at));
     });
 }
 
@@ -125,24 +125,24 @@
 {
     impl_->confirmedAt = now.mono;
     if (impl_->init.mayWatch) {
-        impl_->lease.emplace(impl_->leaseInit(), impl_->callbacks.submit);
-        impl_->lease->start(now);
+        impl_->watcherLease.emplace(impl_->leaseInit(), impl_->callbacks.submit);
+        impl_->watcherLease->start(now);
     }
     impl_->readStore(now);
-    impl_->arm(impl_->pollTimer, impl_->random.jitter(impl_->init.timing.configPoll), now, &Impl::poll);
-    impl_->arm(impl_->staleTimer, impl_->init.timing.configPoll, now, &Impl::checkStale);
+    impl_->startTimer(impl_->pollTimer, impl_->random.jitter(impl_->init.timing.configPoll), now, &Impl::poll);
+    impl_->startTimer(impl_->staleTimer, impl_->init.timing.configPoll, now, &Impl::checkStale);
 }
 
 /// Watchers also poll the head, so that an undetected loss of the watch delays changes by at most one poll interval.
 void ConfigSpread::Impl::poll(Now now)
 {
-    followHead(now);
-    const bool isWatcher = lease && lease->state() == LeaseState::Held;
-    const bool lonely = now.mono - confirmedAt >= lonelyPolls * init.timing.configPoll;
-    if (isWatcher || lonely) {
+    updateHeadWatch(now);
+    const bool isWatcher = watcherLease && watcherLease->state() == LeaseState::Held;
+    const bool isUnconfirmed = now.mono - confirmedAt >= unconfirmedPolls * init.timing.configPoll;
+    if (isWatcher || isUnconfirmed) {
         readStore(now);
     }
-    arm(pollTimer, random.jitter(2 * init.timing.configPoll), now, &Impl::poll);
+    startTimer(pollTimer, random.jitter(2 * init.timing.configPoll), now, &Impl::poll);
 }
 
 void ConfigSpread::Impl::readStore(Now now)
@@ -155,13 +155,13 @@
 
 void ConfigSpread::Impl::onRead(const ConfigReader::Result &result, Now now)
 {
-    moved(now);
+    onStoreChanged(now);
     if (!result) {
         ++stats.readFailures;
         if (result.error().kind == ConfigErrorKind::Unavailable) {
-            arm(catchUpTimer, backoff.next(random), now, &Impl::catchUp);
+            startTimer(catchUpTimer, backoff.next(random), now, &Impl::catchUp);
         } else {
-            refuse(result.error(), now);
+            reportRejected(result.error(), now);
         }
         return;
     }
@@ -173,13 +173,13 @@
     confirm(now.mono);
     if (head.revision() != 0 && head.digest() != init.store->digest()) {
         ++stats.digestMismatches;
-        refuse(ConfigError{ConfigErrorKind::DigestMismatch, "config", "records do not agree with the head",
-                           init.store->revision()},
-               now);
+        reportRejected(ConfigError{ConfigErrorKind::DigestMismatch, "config",
+                                   "digest of the records does not match the head", init.store->revision()},
+                       now);
     }
 }
 
-void ConfigSpread::Impl::refuse(const ConfigError &error, Now now)
+void ConfigSpread::Impl::reportRejected(const ConfigError &error, Now now)
 {
     if (callbacks.refused) {
         callbacks.refused(error, now);
@@ -187,20 +187,20 @@
 }
 
 /// Reports an increased revision. Must be called after every operation that may have changed the store.
-void ConfigSpread::Impl::moved(Now now)
+void ConfigSpread::Impl::onStoreChanged(Now now)
 {
     const std::uint64_t revision = init.store->revision();
-    if (revision == announced) {
+    if (revision == reportedRevision) {
         return;
     }
-    stats.applied += revision - announced;
-    announced = revision;
+    stats.applied += revision - reportedRevision;
+    reportedRevision = revision;
     callbacks.changed(now);
     // Watchers receive changes first and push them at once. Others wait, since most peers have the change by then.
-    if (lease && lease->state() == LeaseState::Held) {
+    if (watcherLease && watcherLease->state() == LeaseState::Held) {
         pushToPeers(now);
     } else {
-        arm(pushTimer, random.jitter(2 * init.timing.heartbeat), now, &Impl::pushToPeers);
+        startTimer(pushTimer, random.jitter(2 * init.timing.heartbeat), now, &Impl::pushToPeers);
     }
 }
 
@@ -208,9 +208,9 @@
 {
     const std::uint64_t revision = init.store->revision();
     for (auto &[name, peer] : peers) {
-        const bool pushedLately =
-            peer.pushedRevision == revision && now.mono - peer.pushedAt < pushHeartbeats * init.timing.heartbeat;
-        if (peer.revision >= revision || pushedLately) {
+        const bool wasPushedRecently =
+            peer.pushedRevision == revision && now.mono - peer.pushedAt < heartbeatsPerPush * init.timing.heartbeat;
+        if (peer.revision >= revision || wasPushedRecently) {
             continue;
         }
         wire::Envelope envelope;
@@ -229,35 +229,35 @@
 }
 
 /// Starts and stops the watch of the head, which runs only while the watcher lease is held.
-void ConfigSpread::Impl::followHead(Now now)
-{
-    const bool isWatcher = lease && lease->state() == LeaseState::Held;
-    if (isWatcher && !follower) {
-        KeyFollower::Init follow{keys.head(), {}, init.timers, init.timing.configPoll * 2, random.next()};
-        follower.emplace(std::move(follow), callbacks.submit,
-                         [this](const std::vector<KvEntry> &, bool, Now at) { readStore(at); });
-        follower->start(now);
-    } else if (!isWatcher && follower) {
-        follower->stop();
-        follower.reset();
+void ConfigSpread::Impl::updateHeadWatch(Now now)
+{
+    const bool isWatcher = watcherLease && watcherLease->state() == LeaseState::Held;
+    if (isWatcher && !headWatch) {
+        KeyFollower::Init watchInit{keys.head(), {}, init.timers, init.timing.configPoll * 2, random.next()};
+        headWatch.emplace(std::move(watchInit), callbacks.submit,
+                          [this](const std::vector<KvEntry> &, bool, Now at) { readStore(at); });
+        headWatch->start(now);
+    } else if (!isWatcher && headWatch) {
+        headWatch->stop();
+        headWatch.reset();
     }
 }
 
 void ConfigSpread::Impl::catchUp(Now now)
 {
-    if (!fetchingFrom.empty()) {
+    if (!fetchPeer.empty()) {
         return;
     }
     const Peer *best = nullptr;
-    const std::string *from = nullptr;
+    const std::string *bestName = nullptr;
     for (const auto &[name, peer] : peers) {
         if (peer.revision > init.store->revision() && (best == nullptr || peer.revision > best->revision)) {
             best = &peer;
-            from = &name;
+            bestName = &name;
         }
     }
-    if (from != nullptr) {
-        sendFetch(*from, now);
+    if (bestName != nullptr) {
+        sendFetch(*bestName, now);
     } else {
         readStore(now);
     }
@@ -265,7 +265,7 @@
 
 void ConfigSpread::Impl::sendFetch(const std::string &peer, Now now)
 {
-    fetchingFrom = peer;
+    fetchPeer = peer;
     wire::Envelope envelope;
     auto &fetch = *envelope.mutable_config_fetch();
     fetch.mutable_from()->set_name(init.self);
@@ -275,13 +275,13 @@
     fetch.set_chunk(nextChunk);
     ++stats.fetchesSent;
     init.timers->cancel(std::exchange(fetchTimer, {}));
-    arm(fetchTimer, fetchTimeout, now, &Impl::onFetchTimeout);
+    startTimer(fetchTimer, fetchTimeout, now, &Impl::onFetchTimeout);
     callbacks.sendToPeer(peer, std::move(envelope));
 }
 
 void ConfigSpread::Impl::endFetch()
 {
-    fetchingFrom.clear();
+    fetchPeer.clear();
     snapshotRevision = 0;
     nextChunk = 0;
     init.timers->cancel(std::exchange(fetchTimer, {}));
@@ -289,7 +289,7 @@
 
 void ConfigSpread::Impl::onFetchTimeout(Now now)
 {
-    peers.erase(fetchingFrom); // use another peer or the service until this peer sends again
+    peers.erase(fetchPeer); // use another peer or the service until this peer sends again
     endFetch();
     catchUp(now);
 }
@@ -297,23 +297,23 @@
 void ConfigSpread::Impl::confirm(TimePoint at)
 {
     confirmedAt = std::max(confirmedAt, at);
-    confirmedOnce = true;
+    wasConfirmed = true;
 }
 
 void ConfigSpread::Impl::checkStale(Now now)
 {
-    const bool is = now.mono - confirmedAt > init.staleAfter;
-    stats.staleSpells += is && !isStale ? 1 : 0;
-    isStale = is;
-    arm(staleTimer, init.timing.configPoll / 2, now, &Impl::checkStale);
+    const bool nowStale = now.mono - confirmedAt > init.staleAfter;
+    stats.stalePeriods += nowStale && !isStale ? 1 : 0;
+    isStale = nowStale;
+    startTimer(staleTimer, init.timing.configPoll / 2, now, &Impl::checkStale);
 }
 
-void ConfigSpread::Impl::takeDeltas(const wire::ConfigPush &push, Now now)
+void ConfigSpread::Impl::applyDeltas(const wire::ConfigPush &push, Now now)
 {
     for (const auto &bytes : push.deltas()) {
         config::Delta delta;
         if (!delta.ParseFromString(bytes)) {
-            ++stats.pushesRefused;
+            ++stats.pushesRejected;
             return;
         }
         if (delta.revision() <= init.store->revision()) {
@@ -323,33 +323,34 @@
         if (applied) {
             continue;
         }
-        ++stats.pushesRefused;
+        ++stats.pushesRejected;
         if (applied.error().kind != ConfigErrorKind::NotNext) {
-            refuse(applied.error(), now);
+            reportRejected(applied.error(), now);
         }
         return;
     }
-    ++stats.pushesTaken;
+    ++stats.pushesAccepted;
 }
 
-void ConfigSpread::Impl::takeChunk(const wire::ConfigPush &push, Now now)
+void ConfigSpread::Impl::applyChunk(const wire::ConfigPush &push, Now now)
 {
     config::Snapshot chunk;
     // An unrequested or duplicate chunk would corrupt the snapshot being assembled.
-    const bool asked = fetchingFrom == push.from().name() && chunk.ParseFromString(push.snapshot())
-                       && (chunk.chunk() == 0 || (chunk.revision() == snapshotRevision && chunk.chunk() == nextChunk));
-    if (!asked) {
-        ++stats.pushesRefused;
+    const bool isExpected =
+        fetchPeer == push.from().name() && chunk.ParseFromString(push.snapshot())
+        && (chunk.chunk() == 0 || (chunk.revision() == snapshotRevision && chunk.chunk() == nextChunk));
+    if (!isExpected) {
+        ++stats.pushesRejected;
         return;
     }
     const auto staged = init.store->stage(chunk);
     if (!staged) {
-        ++stats.pushesRefused;
+        ++stats.pushesRejected;
         endFetch();
-        refuse(staged.error(), now);
+        reportRejected(staged.error(), now);
         return;
     }
-    ++stats.pushesTaken;
+    ++stats.pushesAccepted;
     snapshotRevision = chunk.revision();
     nextChunk = chunk.chunk() + 1;
     if (nextChunk < chunk.chunks()) {
@@ -361,27 +362,28 @@
 
 bool ConfigSpread::onReply(const KvReply &reply, Now now)
 {
-    const bool ours = (impl_->lease && impl_->lease->onReply(reply, now)) || impl_->reader.onReply(reply, now)
-                      || (impl_->follower && impl_->follower->onReply(reply, now));
-    if (ours) {
-        impl_->followHead(now);
+    const bool isHandled = (impl_->watcherLease && impl_->watcherLease->onReply(reply, now))
+                           || impl_->reader.onReply(reply, now)
+                           || (impl_->headWatch && impl_->headWatch->onReply(reply, now));
+    if (isHandled) {
+        impl_->updateHeadWatch(now);
     }
-    return ours;
+    return isHandled;
 }
 
 void ConfigSpread::onPeerRevision(const std::string &peer, std::uint64_t revision, std::uint64_t digest, Now now,
                                   std::optional<Duration> age)
 {
-    auto &known = impl_->peers[peer];
-    known.revision = std::max(known.revision, revision);
-    const std::uint64_t mine = impl_->init.store->revision();
-    if (revision > mine) {
-        impl_->arm(impl_->catchUpTimer, impl_->random.jitter(impl_->init.timing.heartbeat), now, &Impl::catchUp);
+    auto &peerState = impl_->peers[peer];
+    peerState.revision = std::max(peerState.revision, revision);
+    const std::uint64_t localRevision = impl_->init.store->revision();
+    if (revision > localRevision) {
+        impl_->startTimer(impl_->catchUpTimer, impl_->random.jitter(impl_->init.timing.heartbeat), now, &Impl::catchUp);
         return;
     }
-    if (revision < mine) {
+    if (revision < localRevision) {
         const Duration wait = impl_->random.jitter(2 * impl_->init.timing.heartbeat);
-        impl_->arm(impl_->pushTimer, wait, now, &Impl::pushToPeers);
+        impl_->startTimer(impl_->pushTimer, wait, now, &Impl::pushToPeers);
         return;
     }
     if (digest != impl_->init.store->digest()) {
@@ -394,7 +396,7 @@
 void ConfigSpread::onPeerLost(const std::string &peer)
 {
     impl_->peers.erase(peer);
-    if (impl_->fetchingFrom == peer) {
+    if (impl_->fetchPeer == peer) {
         impl_->endFetch();
     }
 }
@@ -403,20 +405,21 @@
 {
     const std::string from = push.from().name();
     if (!push.snapshot().empty()) {
-        impl_->takeChunk(push, now);
+        impl_->applyChunk(push, now);
     } else {
-        if (impl_->fetchingFrom == from) {
+        if (impl_->fetchPeer == from) {
             impl_->endFetch();
         }
-        impl_->takeDeltas(push, now);
+        impl_->applyDeltas(push, now);
     }
     if (!from.empty()) {
         auto &peer = impl_->peers[from];
         peer.revision = std::max(peer.revision, push.revision());
     }
-    impl_->moved(now);
+    impl_->onStoreChanged(now);
     if (push.revision() > impl_->init.store->revision()) {
-        impl_->arm(impl_->catchUpTimer, impl_->random.jitter(impl_->init.timing.heartbeat / 4), now, &Impl::catchUp);
+        impl_->startTimer(impl_->catchUpTimer, impl_->random.jitter(impl_->init.timing.heartbeat / 4), now,
+                          &Impl::catchUp);
     }
 }
 
@@ -441,7 +444,7 @@
 
 bool ConfigSpread::empty() const
 {
-    return impl_->init.store->revision() == 0 && !impl_->confirmedOnce;
+    return impl_->init.store->revision() == 0 && !impl_->wasConfirmed;
 }
 
 Duration ConfigSpread::age(TimePoint now) const
@@ -451,7 +454,7 @@
 
 bool ConfigSpread::watching() const
 {
-    return impl_->lease && impl_->lease->state() == LeaseState::Held;
+    return impl_->watcherLease && impl_->watcherLease->state() == LeaseState::Held;
 }
 
 const ConfigSpread::Stats &ConfigSpread::stats() const
--- a/src/state/config_store.cpp
+++ b/src/state/config_store.cpp
@@ -9,15 +9,15 @@
 namespace {
 
 // Deltas cached for peers that are slightly behind; peers further behind fetch a snapshot.
-constexpr std::size_t mostKeptDeltas = 512;
-constexpr std::size_t mostKeptDeltaBytes = 1U << 20;
+constexpr std::size_t maxCachedDeltas = 512;
+constexpr std::size_t maxCachedDeltaBytes = 1U << 20;
 // Bytes of deltas after which a push ends.
-constexpr std::size_t largestPush = 256U << 10;
+constexpr std::size_t maxPushBytes = 256U << 10;
 // Upper bound of a record's bytes in a snapshot besides its name and text.
 constexpr std::size_t recordOverhead = 32;
 
 /// A parsed change that is not yet applied.
-struct ReadChange
+struct ParsedChange
 {
     std::optional<RecordForm> form; ///< nullopt if the record is removed
     RecordKind kind = RecordKind::Adapter;
@@ -30,42 +30,42 @@
     return ConfigError{kind, std::move(path), std::move(detail), revision};
 }
 
-tl::expected<ReadChange, ConfigError> readChange(const config::Change &change)
+tl::expected<ParsedChange, ConfigError> parseChange(const config::Change &change)
 {
-    ReadChange read;
-    read.name = change.name();
-    read.json = change.json();
+    ParsedChange parsed;
+    parsed.name = change.name();
+    parsed.json = change.json();
     const auto kind = fromString<RecordKind>(change.kind());
     if (!kind) {
-        return tl::unexpected(makeError(ConfigErrorKind::OutOfRange, change.kind(), "kind of record is not known", 0));
+        return tl::unexpected(makeError(ConfigErrorKind::OutOfRange, change.kind(), "unknown record kind", 0));
     }
-    read.kind = *kind;
+    parsed.kind = *kind;
     if (change.removed()) {
-        return read;
+        return parsed;
     }
     auto form = readRecord(change.json());
     if (!form) {
         return tl::unexpected(form.error());
     }
-    if (form->kind != read.kind || form->name != read.name) {
+    if (form->kind != parsed.kind || form->name != parsed.name) {
         return tl::unexpected(makeError(ConfigErrorKind::OutOfRange, change.kind() + "/" + change.name(),
-                                        "the record is of another kind or name", 0));
+                                        "kind or name of the record does not match the change", 0));
     }
-    read.form = std::move(*form);
-    return read;
+    parsed.form = std::move(*form);
+    return parsed;
 }
 
 template<class Changes>
-tl::expected<std::vector<ReadChange>, ConfigError> readChanges(const Changes &changes, std::uint64_t revision)
+tl::expected<std::vector<ParsedChange>, ConfigError> parseChanges(const Changes &changes, std::uint64_t revision)
 {
-    std::vector<ReadChange> all;
+    std::vector<ParsedChange> all;
     for (const config::Change &change : changes) {
-        auto read = readChange(change);
-        if (!read) {
-            read.error().revision = revision;
-            return tl::unexpected(read.error());
+        auto parsed = parseChange(change);
+        if (!parsed) {
+            parsed.error().revision = revision;
+            return tl::unexpected(parsed.error());
         }
-        all.push_back(std::move(*read));
+        all.push_back(std::move(*parsed));
     }
     return all;
 }
@@ -74,7 +74,7 @@
 class Preview
 {
 public:
-    Preview(const RecordTable &table, const std::vector<ReadChange> &changes)
+    Preview(const RecordTable &table, const std::vector<ParsedChange> &changes)
         : table_(table)
     {
         for (const auto &change : changes) {
@@ -100,14 +100,14 @@
 
 private:
     const RecordTable &table_;
-    std::map<std::pair<RecordKind, std::string>, const ReadChange *> changed_; // last change of each record
+    std::map<std::pair<RecordKind, std::string>, const ParsedChange *> changed_; // last change of each record
 };
 
 bool hasVersion(const std::optional<RecordForm> &adapter, std::string_view version)
 {
-    return adapter && std::any_of(adapter->versions.begin(), adapter->versions.end(), [&](const VersionForm &known) {
-               return known.name == version;
-           });
+    return adapter
+           && std::any_of(adapter->versions.begin(), adapter->versions.end(),
+                          [&](const VersionForm &candidate) { return candidate.name == version; });
 }
 
 /// Rejects routes to missing adapters or versions, whose calls would all be refused.
@@ -128,10 +128,10 @@
 }
 
 /// Returns true if a route that refers to the version still does so after the changes.
-bool isStillNamed(const RecordTable &table, const Preview &preview, const std::string &adapter,
-                  const std::string &version)
+bool isStillReferenced(const RecordTable &table, const Preview &preview, const std::string &adapter,
+                       const std::string &version)
 {
-    const auto routes = table.routesNaming(adapter, version);
+    const auto routes = table.routesReferencing(adapter, version);
     return std::any_of(routes.begin(), routes.end(), [&](const std::string &name) {
         const auto route = preview.find(RecordKind::Route, name);
         return route && route->adapter == adapter && (route->version == version || route->nextVersion == version);
@@ -139,7 +139,7 @@
 }
 
 /// Rejects a changed slot count: keys would move to owners that have not seen them, so they could run again.
-std::optional<ConfigError> checkSlotsKept(const RecordTable &table, const RecordForm &service)
+std::optional<ConfigError> checkSlotCount(const RecordTable &table, const RecordForm &service)
 {
     const auto before = table.find(RecordKind::Service, service.name);
     if (before && !before->service.idempotent && before->service.slots != service.service.slots) {
@@ -149,7 +149,7 @@
     return std::nullopt;
 }
 
-std::string fillInVersion(std::string weights, const std::string &version)
+std::string expandVersion(std::string weights, const std::string &version)
 {
     constexpr std::string_view field = "{version}";
     for (auto at = weights.find(field); at != std::string::npos; at = weights.find(field, at + version.size())) {
@@ -171,57 +171,58 @@
 {
     RecordTable table;
     std::uint64_t revision = 0;
-    std::deque<std::string> kept; // serialized deltas; the last one leads to `revision`
-    std::size_t keptBytes = 0;
+    std::deque<std::string> cachedDeltas; // serialized deltas; the last one leads to `revision`
+    std::size_t cachedBytes = 0;
 
-    std::unique_ptr<RecordTable> staged; // chunks of an incomplete snapshot
+    std::unique_ptr<RecordTable> stagedTable; // chunks of an incomplete snapshot
     std::uint64_t stagedRevision = 0;
     std::uint32_t stagedChunks = 0;
 
-    void keep(const config::Delta &delta);
-    std::optional<ConfigError> checkRemovals(const Preview &preview, const ReadChange &change) const;
-    std::optional<ConfigError> check(const std::vector<ReadChange> &changes) const;
+    void cacheDelta(const config::Delta &delta);
+    std::optional<ConfigError> checkRemovedVersions(const Preview &preview, const ParsedChange &change) const;
+    std::optional<ConfigError> check(const std::vector<ParsedChange> &changes) const;
     tl::expected<void, ConfigError> stage(const config::Snapshot &chunk);
-    tl::expected<void, ConfigError> swapIn(std::uint64_t digest);
+    tl::expected<void, ConfigError> commitStaged(std::uint64_t digest);
 };
 
-void ConfigStore::Impl::keep(const config::Delta &delta)
+void ConfigStore::Impl::cacheDelta(const config::Delta &delta)
 {
-    kept.push_back(delta.SerializeAsString());
-    keptBytes += kept.back().size();
-    while (kept.size() > mostKeptDeltas || (keptBytes > mostKeptDeltaBytes && kept.size() > 1)) {
-        keptBytes -= kept.front().size();
-        kept.pop_front();
+    cachedDeltas.push_back(delta.SerializeAsString());
+    cachedBytes += cachedDeltas.back().size();
+    while (cachedDeltas.size() > maxCachedDeltas || (cachedBytes > maxCachedDeltaBytes && cachedDeltas.size() > 1)) {
+        cachedBytes -= cachedDeltas.front().size();
+        cachedDeltas.pop_front();
     }
 }
 
-std::optional<ConfigError> ConfigStore::Impl::checkRemovals(const Preview &preview, const ReadChange &change) const
+std::optional<ConfigError> ConfigStore::Impl::checkRemovedVersions(const Preview &preview,
+                                                                   const ParsedChange &change) const
 {
     const auto before = table.find(RecordKind::Adapter, change.name);
     if (!before) {
         return std::nullopt;
     }
     for (const auto &version : before->versions) {
-        const bool stays = hasVersion(preview.find(RecordKind::Adapter, change.name), version.name);
-        if (!stays && isStillNamed(table, preview, change.name, version.name)) {
+        const bool isKept = hasVersion(preview.find(RecordKind::Adapter, change.name), version.name);
+        if (!isKept && isStillReferenced(table, preview, change.name, version.name)) {
             return makeError(ConfigErrorKind::UnknownReference, "adapter/" + change.name + "." + version.name,
-                             "a route still names this version", 0);
+                             "a route still refers to this version", 0);
         }
     }
     return std::nullopt;
 }
 
-std::optional<ConfigError> ConfigStore::Impl::check(const std::vector<ReadChange> &changes) const
+std::optional<ConfigError> ConfigStore::Impl::check(const std::vector<ParsedChange> &changes) const
 {
     const Preview preview(table, changes);
     for (const auto &change : changes) {
         std::optional<ConfigError> error;
         if (change.kind == RecordKind::Adapter) {
-            error = checkRemovals(preview, change);
+            error = checkRemovedVersions(preview, change);
         } else if (change.kind == RecordKind::Route && change.form) {
             error = checkRouteTarget(preview, *change.form);
         } else if (change.kind == RecordKind::Service && change.form) {
-            error = checkSlotsKept(table, *change.form);
+            error = checkSlotCount(table, *change.form);
         }
         if (error) {
             error->revision = revision;
@@ -234,43 +235,45 @@
 tl::expected<void, ConfigError> ConfigStore::Impl::stage(const config::Snapshot &chunk)
 {
     if (chunk.revision() <= revision) {
-        return tl::unexpected(makeError(ConfigErrorKind::NotNext, "snapshot", "not of a higher revision", revision));
+        return tl::unexpected(
+            makeError(ConfigErrorKind::NotNext, "snapshot", "revision is not higher than the current one", revision));
     }
     if (chunk.chunk() == 0) {
-        staged = std::make_unique<RecordTable>();
+        stagedTable = std::make_unique<RecordTable>();
         stagedRevision = chunk.revision();
         stagedChunks = 0;
     }
-    if (!staged || chunk.revision() != stagedRevision || chunk.chunk() != stagedChunks) {
-        return tl::unexpected(makeError(ConfigErrorKind::NotNext, "snapshot", "not the next chunk", revision));
+    if (!stagedTable || chunk.revision() != stagedRevision || chunk.chunk() != stagedChunks) {
+        return tl::unexpected(makeError(ConfigErrorKind::NotNext, "snapshot", "chunk is out of order", revision));
     }
-    const auto read = readChanges(chunk.records(), revision);
-    if (!read) {
-        staged.reset();
-        return tl::unexpected(read.error());
+    const auto parsed = parseChanges(chunk.records(), revision);
+    if (!parsed) {
+        stagedTable.reset();
+        return tl::unexpected(parsed.error());
     }
-    for (const auto &change : *read) {
+    for (const auto &change : *parsed) {
         if (change.form) {
-            staged->put(*change.form, change.json);
+            stagedTable->put(*change.form, change.json);
         }
     }
     ++stagedChunks;
     if (stagedChunks < chunk.chunks()) {
         return {};
     }
-    return swapIn(chunk.digest());
+    return commitStaged(chunk.digest());
 }
 
-tl::expected<void, ConfigError> ConfigStore::Impl::swapIn(std::uint64_t digest)
+tl::expected<void, ConfigError> ConfigStore::Impl::commitStaged(std::uint64_t digest)
 {
-    const auto whole = std::exchange(staged, nullptr);
-    if (whole->digest() != digest) {
-        return tl::unexpected(makeError(ConfigErrorKind::DigestMismatch, "snapshot", "records do not agree", revision));
+    const auto completed = std::exchange(stagedTable, nullptr);
+    if (completed->digest() != digest) {
+        return tl::unexpected(
+            makeError(ConfigErrorKind::DigestMismatch, "snapshot", "digest of the records does not match", revision));
     }
-    table = std::move(*whole);
+    table = std::move(*completed);
     revision = stagedRevision;
-    kept.clear();
-    keptBytes = 0;
+    cachedDeltas.clear();
+    cachedBytes = 0;
     return {};
 }
 
@@ -333,7 +336,7 @@
     }
     for (const auto &version : form->versions) {
         if (version.name == which.version) {
-            return form->schemaVersion == 1 ? fillInVersion(version.weights, version.name) : version.weights;
+            return form->schemaVersion == 1 ? expandVersion(version.weights, version.name) : version.weights;
         }
     }
     return {};
@@ -346,37 +349,39 @@
 
 std::size_t ConfigStore::memoryBytes() const
 {
-    return impl_->table.bytes() + impl_->keptBytes;
+    return impl_->table.bytes() + impl_->cachedBytes;
 }
 
 tl::expected<std::uint64_t, ConfigError> ConfigStore::validate(std::span<const config::Change> changes) const
 {
-    const auto read = readChanges(changes, revision());
-    if (!read) {
-        return tl::unexpected(read.error());
+    const auto parsed = parseChanges(changes, revision());
+    if (!parsed) {
+        return tl::unexpected(parsed.error());
     }
-    if (auto error = impl_->check(*read)) {
+    if (auto error = impl_->check(*parsed)) {
         return tl::unexpected(*error);
     }
-    return Preview(impl_->table, *read).digest();
+    return Preview(impl_->table, *parsed).digest();
 }
 
 tl::expected<void, ConfigError> ConfigStore::apply(const config::Delta &delta)
 {
     if (delta.revision() != revision() + 1) {
-        return tl::unexpected(makeError(ConfigErrorKind::NotNext, "delta", "does not follow", revision()));
+        return tl::unexpected(
+            makeError(ConfigErrorKind::NotNext, "delta", "does not follow the current revision", revision()));
     }
-    const auto read = readChanges(delta.changes(), revision());
-    if (!read) {
-        return tl::unexpected(read.error());
+    const auto parsed = parseChanges(delta.changes(), revision());
+    if (!parsed) {
+        return tl::unexpected(parsed.error());
     }
-    if (auto error = impl_->check(*read)) {
+    if (auto error = impl_->check(*parsed)) {
         return tl::unexpected(*error);
     }
-    if (delta.digest() != 0 && Preview(impl_->table, *read).digest() != delta.digest()) {
-        return tl::unexpected(makeError(ConfigErrorKind::DigestMismatch, "delta", "records do not agree", revision()));
+    if (delta.digest() != 0 && Preview(impl_->table, *parsed).digest() != delta.digest()) {
+        return tl::unexpected(
+            makeError(ConfigErrorKind::DigestMismatch, "delta", "digest of the records does not match", revision()));
     }
-    for (const auto &change : *read) {
+    for (const auto &change : *parsed) {
         if (change.form) {
             impl_->table.put(*change.form, change.json);
         } else {
@@ -384,7 +389,7 @@
         }
     }
     impl_->revision = delta.revision();
-    impl_->keep(delta);
+    impl_->cacheDelta(delta);
     return {};
 }
 
@@ -397,43 +402,46 @@
 {
     const auto before = revision();
     for (const auto &chunk : chunks) {
-        if (auto staged = stage(chunk); !staged) {
-            return staged;
+        if (auto result = stage(chunk); !result) {
+            return result;
         }
     }
     if (revision() == before) {
-        return tl::unexpected(makeError(ConfigErrorKind::MissingField, "snapshot", "chunks are missing", before));
+        return tl::unexpected(makeError(ConfigErrorKind::MissingField, "snapshot", "snapshot is incomplete", before));
     }
     return {};
 }
 
-wire::ConfigPush ConfigStore::pushSince(std::uint64_t have, std::uint64_t snapshotRevision, std::uint32_t part) const
+wire::ConfigPush ConfigStore::pushSince(std::uint64_t peerRevision, std::uint64_t snapshotRevision,
+                                        std::uint32_t nextChunk) const
 {
     wire::ConfigPush push;
     push.set_revision(revision());
     push.set_digest(digest());
-    if (have >= revision()) {
-        push.set_base_revision(have);
+    if (peerRevision >= revision()) {
+        push.set_base_revision(peerRevision);
         return push;
     }
-    const std::uint64_t lacking = revision() - have;
-    if (lacking <= impl_->kept.size()) {
-        push.set_base_revision(have);
+    const std::uint64_t missingDeltas = revision() - peerRevision;
+    if (missingDeltas <= impl_->cachedDeltas.size()) {
+        push.set_base_revision(peerRevision);
         std::size_t bytes = 0;
-        for (std::size_t i = impl_->kept.size() - lacking; i < impl_->kept.size() && bytes < largestPush; ++i) {
-            bytes += impl_->kept[i].size();
-            push.add_deltas(impl_->kept[i]);
+        for (std::size_t i = impl_->cachedDeltas.size() - missingDeltas;
+             i < impl_->cachedDeltas.size() && bytes < maxPushBytes; ++i) {
+            bytes += impl_->cachedDeltas[i].size();
+            push.add_deltas(impl_->cachedDeltas[i]);
         }
         return push;
     }
     // A peer that started with a snapshot of another revision has to start again with the first chunk.
-    const std::uint32_t wanted = snapshotRevision == revision() && part < impl_->table.parts() ? part : 0;
+    const std::uint32_t servedChunk =
+        snapshotRevision == revision() && nextChunk < impl_->table.parts() ? nextChunk : 0;
     config::Snapshot chunk;
     chunk.set_revision(revision());
     chunk.set_digest(digest());
-    chunk.set_chunk(wanted);
+    chunk.set_chunk(servedChunk);
     chunk.set_chunks(impl_->table.parts());
-    impl_->table.forEachInPart(wanted, [&chunk](const RecordForm &form, const std::string &json) {
+    impl_->table.forEachInPart(servedChunk, [&chunk](const RecordForm &form, const std::string &json) {
         addRecord(*chunk.add_records(), form, json);
     });
     push.set_snapshot(chunk.SerializeAsString());
@@ -450,8 +458,8 @@
 
 std::optional<std::string> ConfigStore::recordText(std::string_view kind, std::string_view name) const
 {
-    const auto known = fromString<RecordKind>(kind);
-    return known ? impl_->table.text(*known, name) : std::nullopt;
+    const auto parsedKind = fromString<RecordKind>(kind);
+    return parsedKind ? impl_->table.text(*parsedKind, name) : std::nullopt;
 }
 
 std::vector<config::Snapshot> ConfigStore::snapshot(std::size_t chunkBytes) const
--- a/src/state/config_writer.cpp
+++ b/src/state/config_writer.cpp
@@ -6,11 +6,11 @@
 namespace anvilscale {
 namespace {
 
-constexpr std::uint32_t mostAttempts = 4;
-constexpr std::size_t deletesPerTxn = 100; // limit of the service on operations per transaction
-constexpr std::size_t largestDelta = 900'000;
-constexpr Duration firstWait = Milliseconds(100);
-constexpr Duration longestWait = Seconds(2);
+constexpr std::uint32_t maxAttempts = 4;
+constexpr std::size_t maxDeletesPerTxn = 100; // limit of the service on operations per transaction
+constexpr std::size_t maxDeltaBytes = 900'000;
+constexpr Duration initialBackoff = Milliseconds(100);
+constexpr Duration maxBackoff = Seconds(2);
 
 ConfigError makeError(ConfigErrorKind kind, std::string detail, std::uint64_t revision)
 {
@@ -27,41 +27,41 @@
         Writing,
         ReadingBack, ///< checking whether the stored delta carries our change id
         WritingChunk,
-        MovingHead, ///< updating the head to refer to the new snapshot
-        Dropping,
+        UpdatingHead, ///< updating the head to refer to the new snapshot
+        Deleting,
     };
 
     Init init;
     std::function<void(KvRequest)> submit;
     std::function<void(const Result &, Now)> done;
     ConfigKeys keys;
-    KvIds ids;
+    KvRequestIds ids;
     Random random;
     Backoff backoff;
     ConfigReader reader;
 
     Step step = Step::Idle;
-    bool compacting = false;
+    bool isCompacting = false;
     KvHandle pending;
     TimerHandle timer;
     std::uint32_t attempts = 0;
-    bool ambiguous = false; // a write without a reply may have taken effect
-    bool overtaken = false; // another writer was first; the head is read only to report its revision
+    bool isOutcomeUnknown = false; // a write without a reply may have taken effect
+    bool isSuperseded = false; // another writer was first; the head is read only to report its revision
     std::optional<std::uint64_t> expected;
     config::Delta delta; // revision 0 until it is based on a head
-    HeadRead head;
+    StoredHead head;
     std::vector<config::Snapshot> chunks;
     std::size_t nextChunk = 0;
-    std::vector<std::string> drops;
+    std::vector<std::string> obsoleteKeys;
 
-    Impl(Init from, std::function<void(KvRequest)> to, std::function<void(const Result &, Now)> onDone)
-        : init(std::move(from))
-        , submit(std::move(to))
+    Impl(Init initValue, std::function<void(KvRequest)> submitRequest, std::function<void(const Result &, Now)> onDone)
+        : init(std::move(initValue))
+        , submit(std::move(submitRequest))
         , done(std::move(onDone))
         , keys{init.keyPrefix}
         , ids("config-writer/" + init.author + std::to_string(init.seed))
         , random(init.seed)
-        , backoff(firstWait, longestWait)
+        , backoff(initialBackoff, maxBackoff)
         , reader(init.keyPrefix, init.store, "writer/" + init.author + std::to_string(init.seed), submit,
                  [this](const ConfigReader::Result &result, Now now) { onHead(result, now); })
     {
@@ -70,20 +70,20 @@
     void send(Step next, KvRequest request);
     void finish(const Result &result, Now now);
     void fail(ConfigErrorKind kind, const char *detail, Now now);
-    void again(Step what, Now now);
+    void retry(Step nextStep, Now now);
     void proceed(Now now);
     void onHead(const ConfigReader::Result &result, Now now);
-    std::optional<ConfigError> build(Now now);
+    std::optional<ConfigError> prepareDelta(Now now);
     std::optional<ConfigError> checkSchemaVersions() const;
     void write();
-    void onWritten(const KvReply &reply, Now now);
-    void onReadBack(const KvReply &reply, Now now);
+    void onWriteReply(const KvReply &reply, Now now);
+    void onReadBackReply(const KvReply &reply, Now now);
     void succeed(Now now);
-    void compactAt(Now now);
+    void writeSnapshotIfDue(Now now);
     void writeChunk();
-    void moveHead();
-    void listDrops(const config::Head &before);
-    void dropNext(Now now);
+    void updateHead();
+    void listObsoleteKeys(const config::Head &before);
+    void deleteNextBatch(Now now);
     void onCompactionReply(const KvReply &reply, Now now);
 };
 
@@ -109,7 +109,7 @@
 void ConfigWriter::Impl::finish(const Result &result, Now now)
 {
     step = Step::Idle;
-    compacting = false;
+    isCompacting = false;
     chunks.clear();
     done(result, now);
 }
@@ -117,20 +117,20 @@
 void ConfigWriter::Impl::fail(ConfigErrorKind kind, const char *detail, Now now)
 {
     // After a write without a reply, only reading it back can prove that it had no effect.
-    const auto told = ambiguous ? ConfigErrorKind::OutcomeUnknown : kind;
-    finish(tl::unexpected(makeError(told, detail, init.store->revision())), now);
+    const auto reportedKind = isOutcomeUnknown ? ConfigErrorKind::OutcomeUnknown : kind;
+    finish(tl::unexpected(makeError(reportedKind, detail, init.store->revision())), now);
 }
 
-void ConfigWriter::Impl::again(Step what, Now now)
+void ConfigWriter::Impl::retry(Step nextStep, Now now)
 {
-    if (++attempts > mostAttempts) {
+    if (++attempts > maxAttempts) {
         fail(ConfigErrorKind::Unavailable, "the key-value service does not answer", now);
         return;
     }
-    step = what;
+    step = nextStep;
     timer = init.timers->subscribe(now.mono + backoff.next(random), [this, now](TimePoint at) {
         timer = {};
-        proceed(laterNow(now, at));
+        proceed(advanceNow(now, at));
     });
 }
 
@@ -150,7 +150,7 @@
 {
     if (!result) {
         if (result.error().kind == ConfigErrorKind::Unavailable) {
-            again(Step::Reading, now);
+            retry(Step::Reading, now);
         } else {
             finish(tl::unexpected(result.error()), now);
         }
@@ -159,19 +159,19 @@
     head = *result;
     const std::uint64_t revision = head.head.revision();
     if (revision != init.store->revision()) { // stale read
-        again(Step::Reading, now);
+        retry(Step::Reading, now);
         return;
     }
-    if (overtaken) {
-        finish(tl::unexpected(makeError(ConfigErrorKind::Conflict, "another change came first", revision)), now);
+    if (isSuperseded) {
+        finish(tl::unexpected(makeError(ConfigErrorKind::Conflict, "another change was applied first", revision)), now);
         return;
     }
-    if (compacting) {
-        compactAt(now);
+    if (isCompacting) {
+        writeSnapshotIfDue(now);
         return;
     }
     if (delta.revision() == 0) {
-        if (const auto error = build(now)) {
+        if (const auto error = prepareDelta(now)) {
             finish(tl::unexpected(*error), now);
             return;
         }
@@ -193,14 +193,15 @@
         // A process that cannot read the record would stay at the previous revision until it is upgraded.
         if (init.schemaVersionOfAll != 0 && !change.removed() && form->schemaVersion > init.schemaVersionOfAll) {
             return ConfigError{ConfigErrorKind::UnknownSchemaVersion, change.kind() + "/" + change.name(),
-                               "a live process reads only up to version " + std::to_string(init.schemaVersionOfAll),
+                               "a live process supports schema versions only up to "
+                                   + std::to_string(init.schemaVersionOfAll),
                                head.head.revision()};
         }
     }
     return std::nullopt;
 }
 
-std::optional<ConfigError> ConfigWriter::Impl::build(Now now)
+std::optional<ConfigError> ConfigWriter::Impl::prepareDelta(Now now)
 {
     const std::uint64_t revision = head.head.revision();
     if (expected && *expected != revision) {
@@ -217,8 +218,8 @@
     delta.set_revision(revision + 1);
     delta.set_digest(*digest);
     delta.set_wall_ms(static_cast<std::uint64_t>(now.wall.ms));
-    if (delta.ByteSizeLong() > largestDelta) {
-        return makeError(ConfigErrorKind::TooLarge, "split the change", revision);
+    if (delta.ByteSizeLong() > maxDeltaBytes) {
+        return makeError(ConfigErrorKind::TooLarge, "the change is too large; split it", revision);
     }
     return std::nullopt;
 }
@@ -237,45 +238,45 @@
     send(Step::Writing, std::move(request));
 }
 
-void ConfigWriter::Impl::onWritten(const KvReply &reply, Now now)
+void ConfigWriter::Impl::onWriteReply(const KvReply &reply, Now now)
 {
     if (reply.status == KvStatus::Ok) {
         succeed(now);
     } else if (reply.status == KvStatus::Unavailable) {
-        again(Step::Reading, now);
+        retry(Step::Reading, now);
     } else if (reply.status == KvStatus::Unknown) {
         if (!init.safeguards.readBack) {
-            fail(ConfigErrorKind::Unavailable, "no reply", now);
+            fail(ConfigErrorKind::Unavailable, "no reply from the key-value service", now);
             return;
         }
-        ambiguous = true;
-        again(Step::ReadingBack, now);
+        isOutcomeUnknown = true;
+        retry(Step::ReadingBack, now);
     } else {
         step = Step::ReadingBack;
         proceed(now);
     }
 }
 
-void ConfigWriter::Impl::onReadBack(const KvReply &reply, Now now)
+void ConfigWriter::Impl::onReadBackReply(const KvReply &reply, Now now)
 {
     if (reply.status != KvStatus::Ok) {
-        again(Step::ReadingBack, now);
+        retry(Step::ReadingBack, now);
         return;
     }
-    config::Delta found;
-    if (reply.entries.empty() || !found.ParseFromString(reply.entries.front().value)) {
+    config::Delta storedDelta;
+    if (reply.entries.empty() || !storedDelta.ParseFromString(reply.entries.front().value)) {
         // Not stored, or still in flight. Repeating the compare-and-swap is safe: only one of the two can take effect,
         // and both carry the same change id.
-        again(Step::Reading, now);
+        retry(Step::Reading, now);
         return;
     }
-    if (found.change_id() == delta.change_id()) {
+    if (storedDelta.change_id() == delta.change_id()) {
         succeed(now);
         return;
     }
-    ambiguous = false; // the revision belongs to another change, permanently
-    overtaken = true;
-    again(Step::Reading, now);
+    isOutcomeUnknown = false; // the revision belongs to another change, permanently
+    isSuperseded = true;
+    retry(Step::Reading, now);
 }
 
 void ConfigWriter::Impl::succeed(Now now)
@@ -287,7 +288,7 @@
     finish(delta.revision(), now);
 }
 
-void ConfigWriter::Impl::compactAt(Now now)
+void ConfigWriter::Impl::writeSnapshotIfDue(Now now)
 {
     const std::uint64_t revision = head.head.revision();
     if (revision - head.head.snapshot_revision() < init.snapshotEvery) {
@@ -310,7 +311,7 @@
     send(Step::WritingChunk, std::move(request));
 }
 
-void ConfigWriter::Impl::moveHead()
+void ConfigWriter::Impl::updateHead()
 {
     config::Head next = head.head;
     next.set_snapshot_revision(next.revision());
@@ -319,37 +320,37 @@
     request.op = KvOp::Txn;
     request.compares.push_back({keys.head(), head.modRevision});
     request.puts.push_back({keys.head(), next.SerializeAsString()});
-    send(Step::MovingHead, std::move(request));
+    send(Step::UpdatingHead, std::move(request));
 }
 
 /// Lists the old snapshot and the deltas before it for deletion. Newer deltas are kept for processes that are slightly
 /// behind.
-void ConfigWriter::Impl::listDrops(const config::Head &before)
+void ConfigWriter::Impl::listObsoleteKeys(const config::Head &before)
 {
-    drops.clear();
+    obsoleteKeys.clear();
     const std::uint64_t last = before.snapshot_revision();
     const std::uint64_t first = last > 2ULL * init.snapshotEvery ? last - 2ULL * init.snapshotEvery : 1;
     for (std::uint64_t revision = first; revision <= last; ++revision) {
-        drops.push_back(keys.delta(revision));
+        obsoleteKeys.push_back(keys.delta(revision));
     }
     for (std::uint32_t chunk = 0; chunk < before.snapshot_chunks(); ++chunk) {
-        drops.push_back(keys.chunk(last, chunk));
+        obsoleteKeys.push_back(keys.chunk(last, chunk));
     }
 }
 
-void ConfigWriter::Impl::dropNext(Now now)
+void ConfigWriter::Impl::deleteNextBatch(Now now)
 {
-    if (drops.empty()) {
+    if (obsoleteKeys.empty()) {
         finish(head.head.revision(), now);
         return;
     }
     KvRequest request;
     request.op = KvOp::Txn;
-    while (!drops.empty() && request.deletes.size() < deletesPerTxn) {
-        request.deletes.push_back(std::move(drops.back()));
-        drops.pop_back();
+    while (!obsoleteKeys.empty() && request.deletes.size() < maxDeletesPerTxn) {
+        request.deletes.push_back(std::move(obsoleteKeys.back()));
+        obsoleteKeys.pop_back();
     }
-    send(Step::Dropping, std::move(request));
+    send(Step::Deleting, std::move(request));
 }
 
 void ConfigWriter::Impl::onCompactionReply(const KvReply &reply, Now now)
@@ -363,14 +364,14 @@
         if (++nextChunk < chunks.size()) {
             writeChunk();
         } else {
-            moveHead();
+            updateHead();
         }
         return;
     }
-    if (step == Step::MovingHead) {
-        listDrops(head.head);
+    if (step == Step::UpdatingHead) {
+        listObsoleteKeys(head.head);
     }
-    dropNext(now);
+    deleteNextBatch(now);
 }
 
 void ConfigWriter::apply(std::vector<config::Change> changes, std::string changeId,
@@ -384,9 +385,9 @@
     }
     impl_->expected = expected;
     impl_->attempts = 0;
-    impl_->ambiguous = false;
-    impl_->overtaken = false;
-    impl_->compacting = false;
+    impl_->isOutcomeUnknown = false;
+    impl_->isSuperseded = false;
+    impl_->isCompacting = false;
     impl_->backoff.reset();
     impl_->step = Impl::Step::Reading;
     impl_->proceed(now);
@@ -395,9 +396,9 @@
 void ConfigWriter::compact(Now now)
 {
     impl_->attempts = 0;
-    impl_->ambiguous = false;
-    impl_->overtaken = false;
-    impl_->compacting = true;
+    impl_->isOutcomeUnknown = false;
+    impl_->isSuperseded = false;
+    impl_->isCompacting = true;
     impl_->backoff.reset();
     impl_->step = Impl::Step::Reading;
     impl_->proceed(now);
@@ -413,9 +414,9 @@
     }
     impl_->pending = {};
     if (impl_->step == Impl::Step::Writing) {
-        impl_->onWritten(reply, now);
+        impl_->onWriteReply(reply, now);
     } else if (impl_->step == Impl::Step::ReadingBack) {
-        impl_->onReadBack(reply, now);
+        impl_->onReadBackReply(reply, now);
     } else {
         impl_->onCompactionReply(reply, now);
     }
--- a/src/state/idempotency_key.cpp
+++ b/src/state/idempotency_key.cpp
@@ -5,23 +5,23 @@
 namespace {
 
 constexpr std::size_t keyLength = 36;
-constexpr std::array<std::size_t, 4> dashes{8, 13, 18, 23};
-constexpr std::size_t versionDigit = 14;
-constexpr std::size_t variantDigit = 19;
+constexpr std::array<std::size_t, 4> dashPositions{8, 13, 18, 23};
+constexpr std::size_t versionPosition = 14;
+constexpr std::size_t variantPosition = 19;
 constexpr std::string_view hexDigits = "0123456789abcdef";
-constexpr unsigned stampDigits = 12;
-constexpr std::uint64_t stampMask = (std::uint64_t(1) << 48) - 1;
+constexpr unsigned timestampDigits = 12;
+constexpr std::uint64_t timestampMask = (std::uint64_t(1) << 48) - 1;
 
-std::optional<std::uint64_t> hexValue(char c)
+std::optional<std::uint64_t> hexDigitValue(char c)
 {
     const char lower = c >= 'A' && c <= 'F' ? static_cast<char>(c - 'A' + 'a') : c;
     const auto at = hexDigits.find(lower);
     return at == std::string_view::npos ? std::nullopt : std::optional<std::uint64_t>(at);
 }
 
-bool isDash(std::size_t at)
+bool isDashPosition(std::size_t at)
 {
-    return at == dashes[0] || at == dashes[1] || at == dashes[2] || at == dashes[3];
+    return at == dashPositions[0] || at == dashPositions[1] || at == dashPositions[2] || at == dashPositions[3];
 }
 
 /// Appends the low `digits` hex digits of `value`, most significant first.
@@ -36,46 +36,46 @@
 
 std::optional<WallTime> keyTime(std::string_view key)
 {
-    if (key.size() != keyLength || key[versionDigit] != '7') {
+    if (key.size() != keyLength || key[versionPosition] != '7') {
         return std::nullopt;
     }
-    std::uint64_t stamp = 0;
+    std::uint64_t timestamp = 0;
     unsigned digits = 0;
     for (std::size_t i = 0; i < keyLength; ++i) {
-        if (isDash(i)) {
+        if (isDashPosition(i)) {
             if (key[i] != '-') {
                 return std::nullopt;
             }
             continue;
         }
-        const auto value = hexValue(key[i]);
-        if (!value || (i == variantDigit && (*value >> 2) != 2)) {
+        const auto value = hexDigitValue(key[i]);
+        if (!value || (i == variantPosition && (*value >> 2) != 2)) {
             return std::nullopt;
         }
-        if (digits++ < stampDigits) {
-            stamp = stamp << 4 | *value;
+        if (digits++ < timestampDigits) {
+            timestamp = timestamp << 4 | *value;
         }
     }
-    return WallTime{static_cast<std::int64_t>(stamp)};
+    return WallTime{static_cast<std::int64_t>(timestamp)};
 }
 
 std::string makeKey(WallTime now, Random &random)
 {
-    const std::uint64_t stamp = static_cast<std::uint64_t>(now.ms) & stampMask;
-    const std::uint64_t a = random.next();
-    const std::uint64_t b = random.next();
+    const std::uint64_t timestamp = static_cast<std::uint64_t>(now.ms) & timestampMask;
+    const std::uint64_t randomA = random.next();
+    const std::uint64_t randomB = random.next();
     std::string key;
     key.reserve(keyLength);
-    appendHex(key, stamp >> 16, 8);
+    appendHex(key, timestamp >> 16, 8);
     key += '-';
-    appendHex(key, stamp, 4);
+    appendHex(key, timestamp, 4);
     key += "-7";
-    appendHex(key, a, 3);
+    appendHex(key, randomA, 3);
     key += '-';
-    appendHex(key, 0x8 | (a >> 12 & 0x3), 1);
-    appendHex(key, a >> 16, 3);
+    appendHex(key, 0x8 | (randomA >> 12 & 0x3), 1);
+    appendHex(key, randomA >> 16, 3);
     key += '-';
-    appendHex(key, b, 12);
+    appendHex(key, randomB, 12);
     return key;
 }
 
--- a/src/state/key_follower.cpp
+++ b/src/state/key_follower.cpp
@@ -6,7 +6,7 @@
 namespace anvilscale {
 namespace {
 
-constexpr Duration firstWait = Milliseconds(100);
+constexpr Duration initialBackoff = Milliseconds(100);
 
 } // namespace
 
@@ -15,33 +15,33 @@
     Init init;
     std::function<void(KvRequest)> submit;
     std::function<void(const std::vector<KvEntry> &, bool, Now)> changed;
-    KvIds ids;
+    KvRequestIds ids;
     Random random;
     Backoff backoff;
 
-    KvHandle reading;
-    KvHandle watch;
-    TimerHandle timer;
-    std::int64_t seenRevision = 0; // all changes up to this one were passed to `changed`
-    bool mustRead = true;
-    bool stands = false;
-    std::optional<TimePoint> lastAnswer;
+    KvHandle pendingRead;
+    KvHandle activeWatch;
+    TimerHandle retryTimer;
+    std::int64_t processedRevision = 0; // all changes up to this one were passed to `changed`
+    bool needsFullRead = true;
+    bool isEstablished = false;
+    std::optional<TimePoint> lastUpdateAt;
 
-    Impl(Init from, std::function<void(KvRequest)> to,
+    Impl(Init initValue, std::function<void(KvRequest)> submitRequest,
          std::function<void(const std::vector<KvEntry> &, bool, Now)> onChange)
-        : init(std::move(from))
-        , submit(std::move(to))
+        : init(std::move(initValue))
+        , submit(std::move(submitRequest))
         , changed(std::move(onChange))
         , ids("follow/" + init.key + "/" + std::to_string(init.seed))
         , random(init.seed)
-        , backoff(firstWait, init.longestWait)
+        , backoff(initialBackoff, init.maxBackoff)
     {
     }
 
-    void proceed();
-    void again(Now now);
-    void onRead(const KvReply &reply, Now now);
-    void onWatch(const KvReply &reply, Now now);
+    void sendNextRequest();
+    void scheduleRetry(Now now);
+    void onReadReply(const KvReply &reply, Now now);
+    void onWatchReply(const KvReply &reply, Now now);
 };
 
 KeyFollower::KeyFollower(Init init, std::function<void(KvRequest)> submit,
@@ -52,122 +52,122 @@
 
 KeyFollower::~KeyFollower()
 {
-    impl_->init.timers->cancel(impl_->timer);
+    impl_->init.timers->cancel(impl_->retryTimer);
 }
 
-void KeyFollower::Impl::proceed()
+void KeyFollower::Impl::sendNextRequest()
 {
-    if (reading || watch) {
+    if (pendingRead || activeWatch) {
         return;
     }
     KvRequest request;
     request.id = ids.next();
     request.key = init.key;
     request.rangeEnd = init.rangeEnd;
-    if (mustRead) {
+    if (needsFullRead) {
         request.op = KvOp::Range;
-        reading = request.id;
+        pendingRead = request.id;
     } else {
         request.op = KvOp::Watch;
-        request.startRevision = seenRevision + 1;
-        watch = request.id;
+        request.startRevision = processedRevision + 1;
+        activeWatch = request.id;
     }
     submit(std::move(request));
 }
 
-void KeyFollower::Impl::again(Now now)
+void KeyFollower::Impl::scheduleRetry(Now now)
 {
-    init.timers->cancel(timer);
-    timer = init.timers->subscribe(now.mono + backoff.next(random), [this](TimePoint) {
-        timer = {};
-        proceed();
+    init.timers->cancel(retryTimer);
+    retryTimer = init.timers->subscribe(now.mono + backoff.next(random), [this](TimePoint) {
+        retryTimer = {};
+        sendNextRequest();
     });
 }
 
-void KeyFollower::Impl::onRead(const KvReply &reply, Now now)
+void KeyFollower::Impl::onReadReply(const KvReply &reply, Now now)
 {
-    reading = {};
+    pendingRead = {};
     // A read older than the last watch event comes from a stale replica and would revert changes.
-    if (reply.status != KvStatus::Ok || reply.storeRevision < seenRevision) {
-        again(now);
+    if (reply.status != KvStatus::Ok || reply.storeRevision < processedRevision) {
+        scheduleRetry(now);
         return;
     }
     backoff.reset();
-    mustRead = false;
-    seenRevision = reply.storeRevision;
-    lastAnswer = now.mono;
-    proceed();
+    needsFullRead = false;
+    processedRevision = reply.storeRevision;
+    lastUpdateAt = now.mono;
+    sendNextRequest();
     changed(reply.entries, true, now);
 }
 
-void KeyFollower::Impl::onWatch(const KvReply &reply, Now now)
+void KeyFollower::Impl::onWatchReply(const KvReply &reply, Now now)
 {
     if (reply.status == KvStatus::Ok) {
-        stands = true;
+        isEstablished = true;
         backoff.reset();
-        lastAnswer = now.mono;
-        std::vector<KvEntry> fresh;
+        lastUpdateAt = now.mono;
+        std::vector<KvEntry> newEntries;
         for (const auto &entry : reply.entries) {
-            if (entry.modRevision > seenRevision) {
-                fresh.push_back(entry);
+            if (entry.modRevision > processedRevision) {
+                newEntries.push_back(entry);
             }
         }
-        seenRevision = std::max(seenRevision, reply.event ? reply.storeRevision : seenRevision);
-        for (const auto &entry : fresh) {
-            seenRevision = std::max(seenRevision, entry.modRevision);
+        processedRevision = std::max(processedRevision, reply.event ? reply.storeRevision : processedRevision);
+        for (const auto &entry : newEntries) {
+            processedRevision = std::max(processedRevision, entry.modRevision);
         }
-        if (!fresh.empty()) {
-            changed(fresh, false, now);
+        if (!newEntries.empty()) {
+            changed(newEntries, false, now);
         }
         return;
     }
-    watch = {};
-    stands = false;
-    mustRead = mustRead || reply.status == KvStatus::Compacted;
-    again(now);
+    activeWatch = {};
+    isEstablished = false;
+    needsFullRead = needsFullRead || reply.status == KvStatus::Compacted;
+    scheduleRetry(now);
 }
 
 void KeyFollower::start(Now)
 {
-    impl_->proceed();
+    impl_->sendNextRequest();
 }
 
 void KeyFollower::stop()
 {
-    impl_->init.timers->cancel(impl_->timer);
-    impl_->reading = {};
-    impl_->mustRead = true;
-    impl_->stands = false;
-    if (!impl_->watch) {
+    impl_->init.timers->cancel(impl_->retryTimer);
+    impl_->pendingRead = {};
+    impl_->needsFullRead = true;
+    impl_->isEstablished = false;
+    if (!impl_->activeWatch) {
         return;
     }
     KvRequest request;
     request.op = KvOp::WatchCancel;
-    request.id = std::exchange(impl_->watch, {});
+    request.id = std::exchange(impl_->activeWatch, {});
     impl_->submit(std::move(request));
 }
 
 bool KeyFollower::onReply(const KvReply &reply, Now now)
 {
-    if (impl_->reading && reply.id == impl_->reading) {
-        impl_->onRead(reply, now);
+    if (impl_->pendingRead && reply.id == impl_->pendingRead) {
+        impl_->onReadReply(reply, now);
         return true;
     }
-    if (impl_->watch && reply.id == impl_->watch) {
-        impl_->onWatch(reply, now);
+    if (impl_->activeWatch && reply.id == impl_->activeWatch) {
+        impl_->onWatchReply(reply, now);
         return true;
     }
     return false;
 }
 
-std::optional<TimePoint> KeyFollower::lastAnswer() const
+std::optional<TimePoint> KeyFollower::lastUpdateAt() const
 {
-    return impl_->lastAnswer;
+    return impl_->lastUpdateAt;
 }
 
 bool KeyFollower::watching() const
 {
-    return impl_->stands;
+    return impl_->isEstablished;
 }
 
 } // namespace anvilscale
--- a/src/state/kv_ids.h
+++ b/src/state/kv_ids.h
@@ -8,20 +8,20 @@
 namespace anvilscale {
 
 /// Generates request ids that are unique within a process: the upper half is a hash of the component's name.
-class KvIds
+class KvRequestIds
 {
 public:
-    explicit KvIds(std::string_view part)
-        : upper_(hash64(part) << 32)
+    explicit KvRequestIds(std::string_view component)
+        : upperBits_(hash64(component) << 32)
     {
     }
     KvHandle next()
     {
-        return KvHandle{upper_ | ++last_};
+        return KvHandle{upperBits_ | ++last_};
     }
 
 private:
-    std::uint64_t upper_;
+    std::uint64_t upperBits_;
     std::uint32_t last_ = 0;
 };
 
@@ -30,26 +30,26 @@
 class Backoff
 {
 public:
-    Backoff(Duration first, Duration longest)
-        : first_(first)
-        , longest_(longest)
-        , wait_(first)
+    Backoff(Duration initialWait, Duration maxWait)
+        : initialWait_(initialWait)
+        , maxWait_(maxWait)
+        , wait_(initialWait)
     {
     }
     Duration next(Random &random)
     {
         const Duration wait = random.jitter(wait_ * 2);
-        wait_ = std::min(wait_ * 2, longest_);
+        wait_ = std::min(wait_ * 2, maxWait_);
         return wait;
     }
     void reset()
     {
-        wait_ = first_;
+        wait_ = initialWait_;
     }
 
 private:
-    Duration first_;
-    Duration longest_;
+    Duration initialWait_;
+    Duration maxWait_;
     Duration wait_;
 };
 
--- a/src/state/later_now.h
+++ b/src/state/later_now.h
@@ -5,12 +5,12 @@
 
 namespace anvilscale {
 
-/// Advances `armed` to `at`. The wall clock is extrapolated, which is sufficient for logs and delays; the at-most-once
+/// Advances `start` to `at`. The wall clock is extrapolated, which is sufficient for logs and delays; the at-most-once
 /// guarantee uses only wall times that were read for a reply.
-inline Now laterNow(Now armed, TimePoint at)
+inline Now advanceNow(Now start, TimePoint at)
 {
-    const auto passed = std::chrono::duration_cast<Milliseconds>(at - armed.mono).count();
-    return Now{at, WallTime{armed.wall.ms + passed}};
+    const auto elapsedMs = std::chrono::duration_cast<Milliseconds>(at - start.mono).count();
+    return Now{at, WallTime{start.wall.ms + elapsedMs}};
 }
 
 } // namespace anvilscale
--- a/src/state/lease_keeper.cpp
+++ b/src/state/lease_keeper.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int keepAlivesPerLease = 3;
-constexpr Duration firstWait = Milliseconds(200);
+constexpr Duration initialBackoff = Milliseconds(200);
 
 } // namespace
 
@@ -27,45 +27,45 @@
 
     Init init;
     std::function<void(KvRequest)> submit;
-    KvIds ids;
+    KvRequestIds ids;
     Random random;
     Backoff backoff;
 
-    bool wanted = false;
+    bool isStarted = false;
     Step step = Step::Idle;
     KvHandle pending; // the only request in flight
     TimerHandle timer;
     LeaseState state = LeaseState::None;
     std::uint64_t lease = 0;
-    std::uint64_t fence = 0; // 0 unless the key was last known to be ours
-    TimePoint countedFrom; // send time of the last request that extended the lease
-    TimePoint sentAt;
+    std::uint64_t fence = 0; // 0 unless this process was last known to hold the key
+    TimePoint leaseCountedFrom; // send time of the last request that extended the lease
+    TimePoint lastSentAt;
     Duration ttl{};
 
-    Impl(Init from, std::function<void(KvRequest)> to)
-        : init(std::move(from))
-        , submit(std::move(to))
+    Impl(Init initValue, std::function<void(KvRequest)> submitRequest)
+        : init(std::move(initValue))
+        , submit(std::move(submitRequest))
         , ids("lease/" + init.key + "/" + init.holder)
         , random(init.seed)
-        , backoff(firstWait, init.timing.lease / 2)
+        , backoff(initialBackoff, init.timing.lease / 2)
     {
     }
 
-    void send(Step next, KvRequest request, Now now);
-    void later(Duration wait, Now now);
-    void wake(Now now);
-    void read(Step next, Now now);
-    void grant(Now now);
-    void write(Now now);
-    void keepAlive(Now now);
-    void giveUp(LeaseState why, Now now);
-    void hold(std::uint64_t newFence, Now now);
-    void onRead(const KvReply &reply, Now now);
-    void onGranted(const KvReply &reply, Now now);
-    void onWritten(const KvReply &reply, Now now);
-    void onReadBack(const KvReply &reply, Now now);
-    void onKeptAlive(const KvReply &reply, Now now);
-    const KvEntry *entryIn(const KvReply &reply) const;
+    void send(Step nextStep, KvRequest request, Now now);
+    void scheduleWake(Duration wait, Now now);
+    void onTimer(Now now);
+    void readKey(Step nextStep, Now now);
+    void requestLease(Now now);
+    void writeKey(Now now);
+    void sendKeepAlive(Now now);
+    void dropLease(LeaseState newState, Now now);
+    void onAcquired(std::uint64_t newFence, Now now);
+    void onReadReply(const KvReply &reply, Now now);
+    void onGrantReply(const KvReply &reply, Now now);
+    void onWriteReply(const KvReply &reply, Now now);
+    void onReadBackReply(const KvReply &reply, Now now);
+    void onKeepAliveReply(const KvReply &reply, Now now);
+    const KvEntry *findEntry(const KvReply &reply) const;
 };
 
 LeaseKeeper::LeaseKeeper(Init init, std::function<void(KvRequest)> submit)
@@ -78,47 +78,47 @@
     impl_->init.timers->cancel(impl_->timer);
 }
 
-void LeaseKeeper::Impl::send(Step next, KvRequest request, Now now)
+void LeaseKeeper::Impl::send(Step nextStep, KvRequest request, Now now)
 {
-    step = next;
+    step = nextStep;
     request.id = ids.next();
     pending = request.id;
-    sentAt = now.mono;
+    lastSentAt = now.mono;
     submit(std::move(request));
 }
 
-void LeaseKeeper::Impl::later(Duration wait, Now now)
+void LeaseKeeper::Impl::scheduleWake(Duration wait, Now now)
 {
     init.timers->cancel(timer);
     timer = init.timers->subscribe(now.mono + wait, [this, now](TimePoint at) {
         timer = {};
-        wake(laterNow(now, at));
+        onTimer(advanceNow(now, at));
     });
 }
 
-void LeaseKeeper::Impl::wake(Now now)
+void LeaseKeeper::Impl::onTimer(Now now)
 {
-    if (pending || !wanted) {
+    if (pending || !isStarted) {
         return;
     }
     if (state == LeaseState::Held) {
-        keepAlive(now);
+        sendKeepAlive(now);
     } else if (step == Step::ReadingBack) {
-        read(Step::ReadingBack, now);
+        readKey(Step::ReadingBack, now);
     } else {
-        read(Step::Reading, now);
+        readKey(Step::Reading, now);
     }
 }
 
-void LeaseKeeper::Impl::read(Step next, Now now)
+void LeaseKeeper::Impl::readKey(Step nextStep, Now now)
 {
     KvRequest request;
     request.op = KvOp::Range;
     request.key = init.key;
-    send(next, std::move(request), now);
+    send(nextStep, std::move(request), now);
 }
 
-void LeaseKeeper::Impl::grant(Now now)
+void LeaseKeeper::Impl::requestLease(Now now)
 {
     KvRequest request;
     request.op = KvOp::LeaseGrant;
@@ -126,7 +126,7 @@
     send(Step::Granting, std::move(request), now);
 }
 
-void LeaseKeeper::Impl::write(Now now)
+void LeaseKeeper::Impl::writeKey(Now now)
 {
     config::SchedulerLease value;
     value.set_holder(init.holder);
@@ -139,7 +139,7 @@
     send(Step::Writing, std::move(request), now);
 }
 
-void LeaseKeeper::Impl::keepAlive(Now now)
+void LeaseKeeper::Impl::sendKeepAlive(Now now)
 {
     KvRequest request;
     request.op = KvOp::LeaseKeepAlive;
@@ -147,25 +147,25 @@
     send(Step::KeepingAlive, std::move(request), now);
 }
 
-void LeaseKeeper::Impl::giveUp(LeaseState why, Now now)
+void LeaseKeeper::Impl::dropLease(LeaseState newState, Now now)
 {
-    state = why;
+    state = newState;
     fence = 0;
     lease = 0;
     step = Step::Idle;
-    later(backoff.next(random), now);
+    scheduleWake(backoff.next(random), now);
 }
 
-void LeaseKeeper::Impl::hold(std::uint64_t newFence, Now now)
+void LeaseKeeper::Impl::onAcquired(std::uint64_t newFence, Now now)
 {
     state = LeaseState::Held;
     fence = newFence;
     step = Step::Idle;
     backoff.reset();
-    later(random.jitter(init.timing.lease / keepAlivesPerLease), now);
+    scheduleWake(random.jitter(init.timing.lease / keepAlivesPerLease), now);
 }
 
-const KvEntry *LeaseKeeper::Impl::entryIn(const KvReply &reply) const
+const KvEntry *LeaseKeeper::Impl::findEntry(const KvReply &reply) const
 {
     for (const auto &entry : reply.entries) {
         if (entry.key == init.key && entry.modRevision != 0 && !entry.deleted) {
@@ -175,93 +175,93 @@
     return nullptr;
 }
 
-void LeaseKeeper::Impl::onRead(const KvReply &reply, Now now)
+void LeaseKeeper::Impl::onReadReply(const KvReply &reply, Now now)
 {
     if (reply.status != KvStatus::Ok) {
         step = Step::Idle;
-        later(backoff.next(random), now);
+        scheduleWake(backoff.next(random), now);
         return;
     }
-    if (entryIn(reply) != nullptr) { // held by another process; check again within its lease
+    if (findEntry(reply) != nullptr) { // held by another process; check again within its lease
         step = Step::Idle;
         state = LeaseState::None;
-        later(random.jitter(init.timing.lease), now);
+        scheduleWake(random.jitter(init.timing.lease), now);
         return;
     }
     state = LeaseState::Asking;
-    grant(now);
+    requestLease(now);
 }
 
-void LeaseKeeper::Impl::onGranted(const KvReply &reply, Now now)
+void LeaseKeeper::Impl::onGrantReply(const KvReply &reply, Now now)
 {
     // A lease whose grant reply was lost expires by itself; no key is attached to it.
     if (reply.status != KvStatus::Ok || reply.lease == 0) {
-        giveUp(LeaseState::None, now);
+        dropLease(LeaseState::None, now);
         return;
     }
     lease = reply.lease;
     ttl = reply.ttl > Duration::zero() ? std::min(reply.ttl, init.timing.lease) : init.timing.lease;
-    countedFrom = init.safeguards.leaseFromSend ? sentAt : now.mono;
-    write(now);
+    leaseCountedFrom = init.safeguards.leaseFromSend ? lastSentAt : now.mono;
+    writeKey(now);
 }
 
-void LeaseKeeper::Impl::onWritten(const KvReply &reply, Now now)
+void LeaseKeeper::Impl::onWriteReply(const KvReply &reply, Now now)
 {
     if (reply.status == KvStatus::Ok) {
-        hold(static_cast<std::uint64_t>(reply.storeRevision), now);
+        onAcquired(static_cast<std::uint64_t>(reply.storeRevision), now);
     } else if (reply.status == KvStatus::Unknown) {
         // A repeated write could conflict with its own first effect, and this process would treat itself as another
         // holder.
-        read(Step::ReadingBack, now);
+        readKey(Step::ReadingBack, now);
     } else {
-        giveUp(LeaseState::None, now);
+        dropLease(LeaseState::None, now);
     }
 }
 
-void LeaseKeeper::Impl::onReadBack(const KvReply &reply, Now now)
+void LeaseKeeper::Impl::onReadBackReply(const KvReply &reply, Now now)
 {
     if (reply.status != KvStatus::Ok) {
-        const bool leaseOver = now.mono - countedFrom >= ttl;
-        if (leaseOver) {
-            giveUp(LeaseState::None, now);
+        const bool hasExpired = now.mono - leaseCountedFrom >= ttl;
+        if (hasExpired) {
+            dropLease(LeaseState::None, now);
         } else {
-            later(backoff.next(random), now);
+            scheduleWake(backoff.next(random), now);
         }
         return;
     }
     // The lease id identifies this acquisition: no other write carries it.
-    const KvEntry *entry = entryIn(reply);
+    const KvEntry *entry = findEntry(reply);
     if (entry != nullptr && entry->lease == lease) {
-        hold(static_cast<std::uint64_t>(entry->modRevision), now);
+        onAcquired(static_cast<std::uint64_t>(entry->modRevision), now);
     } else {
-        giveUp(LeaseState::None, now);
+        dropLease(LeaseState::None, now);
     }
 }
 
-void LeaseKeeper::Impl::onKeptAlive(const KvReply &reply, Now now)
+void LeaseKeeper::Impl::onKeepAliveReply(const KvReply &reply, Now now)
 {
     step = Step::Idle;
     if (reply.status == KvStatus::Ok && reply.ttl >= Duration::zero()) {
-        countedFrom = init.safeguards.leaseFromSend ? sentAt : now.mono;
+        leaseCountedFrom = init.safeguards.leaseFromSend ? lastSentAt : now.mono;
         ttl = reply.ttl > Duration::zero() ? std::min(reply.ttl, init.timing.lease) : init.timing.lease;
         backoff.reset();
-        later(random.jitter(init.timing.lease / keepAlivesPerLease), now);
+        scheduleWake(random.jitter(init.timing.lease / keepAlivesPerLease), now);
     } else if (reply.status == KvStatus::LeaseGone) {
-        giveUp(LeaseState::Lost, now);
+        dropLease(LeaseState::Lost, now);
     } else {
-        later(backoff.next(random), now);
+        scheduleWake(backoff.next(random), now);
     }
 }
 
 void LeaseKeeper::start(Now now)
 {
-    impl_->wanted = true;
-    impl_->wake(now);
+    impl_->isStarted = true;
+    impl_->onTimer(now);
 }
 
 void LeaseKeeper::stop(Now now)
 {
-    impl_->wanted = false;
+    impl_->isStarted = false;
     impl_->init.timers->cancel(impl_->timer);
     impl_->state = LeaseState::None;
     impl_->fence = 0; // cleared before the revocation is sent, so nothing is done under a revoked lease
@@ -280,26 +280,26 @@
         return false;
     }
     impl_->pending = {};
-    if (!impl_->wanted) {
+    if (!impl_->isStarted) {
         return true;
     }
     switch (impl_->step) {
     case Impl::Step::Idle:
         break;
     case Impl::Step::Reading:
-        impl_->onRead(reply, now);
+        impl_->onReadReply(reply, now);
         break;
     case Impl::Step::Granting:
-        impl_->onGranted(reply, now);
+        impl_->onGrantReply(reply, now);
         break;
     case Impl::Step::Writing:
-        impl_->onWritten(reply, now);
+        impl_->onWriteReply(reply, now);
         break;
     case Impl::Step::ReadingBack:
-        impl_->onReadBack(reply, now);
+        impl_->onReadBackReply(reply, now);
         break;
     case Impl::Step::KeepingAlive:
-        impl_->onKeptAlive(reply, now);
+        impl_->onKeepAliveReply(reply, now);
         break;
     }
     return true;
@@ -308,11 +308,12 @@
 bool LeaseKeeper::mayAct(TimePoint now) const
 {
     // Counted from before the send, the lease expires here no later than at the service. A holder that was paused is
-    // past this time when it resumes, whatever it had checked before.
+    // past this time when it resumes, regardless of earlier checks.
     if (!impl_->init.safeguards.leaseClock) {
         return impl_->state == LeaseState::Held;
     }
-    return impl_->state == LeaseState::Held && now < impl_->countedFrom + impl_->ttl - impl_->init.timing.leaseMargin;
+    return impl_->state == LeaseState::Held
+           && now < impl_->leaseCountedFrom + impl_->ttl - impl_->init.timing.leaseMargin;
 }
 
 std::uint64_t LeaseKeeper::fence() const
--- a/src/state/record.cpp
+++ b/src/state/record.cpp
@@ -11,15 +11,15 @@
 namespace anvilscale {
 namespace {
 
-constexpr std::size_t longestName = 256;
-constexpr std::size_t longestWeights = 2048;
-constexpr std::size_t largestRecord = 64U << 10;
-constexpr std::size_t mostVersions = 256;
-constexpr std::uint32_t longestDeadlineMs = 24U * 3600 * 1000;
-constexpr std::uint32_t mostSlots = 4096;
-constexpr std::uint32_t longestWindowS = 24U * 3600;
-constexpr std::uint32_t largestSkewMs = 10U * 60 * 1000;
-constexpr std::uint32_t largestMarginMs = 10U * largestSkewMs;
+constexpr std::size_t maxNameLength = 256;
+constexpr std::size_t maxWeightsLength = 2048;
+constexpr std::size_t maxRecordBytes = 64U << 10;
+constexpr std::size_t maxVersions = 256;
+constexpr std::uint32_t maxDeadlineMs = 24U * 3600 * 1000;
+constexpr std::uint32_t maxSlots = 4096;
+constexpr std::uint32_t maxWindowS = 24U * 3600;
+constexpr std::uint32_t maxSkewMs = 10U * 60 * 1000;
+constexpr std::uint32_t maxMarginMs = 10U * maxSkewMs;
 
 ConfigError makeError(ConfigErrorKind kind, std::string path, std::string detail)
 {
@@ -27,7 +27,7 @@
 }
 
 /// Maps protobuf messages of the form "(path.of.parent) field: Cannot find field." or "(path): invalid value ...".
-ConfigError fromReader(std::string_view message)
+ConfigError fromParserMessage(std::string_view message)
 {
     std::string path;
     std::string_view rest = message;
@@ -36,15 +36,15 @@
         path = std::string(rest.substr(1, close - 1));
         rest.remove_prefix(std::min(rest.size(), close + 1));
     }
-    constexpr std::string_view missing = ": Cannot find field";
-    if (const auto at = rest.find(missing); at != std::string_view::npos) {
+    constexpr std::string_view unknownFieldText = ": Cannot find field";
+    if (const auto at = rest.find(unknownFieldText); at != std::string_view::npos) {
         std::string_view field = rest.substr(0, at);
         field.remove_prefix(std::min(field.size(), field.find_first_not_of(' ')));
         path += (path.empty() ? "" : ".") + std::string(field);
         return makeError(ConfigErrorKind::UnknownField, path, std::string(message));
     }
-    const bool range = rest.find("invalid value") != std::string_view::npos;
-    return makeError(range ? ConfigErrorKind::OutOfRange : ConfigErrorKind::BadJson, path, std::string(message));
+    const bool isOutOfRange = rest.find("invalid value") != std::string_view::npos;
+    return makeError(isOutOfRange ? ConfigErrorKind::OutOfRange : ConfigErrorKind::BadJson, path, std::string(message));
 }
 
 template<class Record>
@@ -53,7 +53,7 @@
     Record record;
     const auto status = google::protobuf::util::JsonStringToMessage(std::string(json), &record);
     if (!status.ok()) {
-        return tl::unexpected(fromReader(std::string_view(status.message().data(), status.message().size())));
+        return tl::unexpected(fromParserMessage(std::string_view(status.message().data(), status.message().size())));
     }
     return record;
 }
@@ -61,30 +61,31 @@
 /// Returns the schema version of a record; its other fields are not checked.
 tl::expected<std::uint32_t, ConfigError> schemaVersionOf(std::string_view json)
 {
-    const auto any = readJson<google::protobuf::Struct>(json);
-    if (!any) {
-        return tl::unexpected(any.error());
+    const auto tree = readJson<google::protobuf::Struct>(json);
+    if (!tree) {
+        return tl::unexpected(tree.error());
     }
     for (const char *name : {"schemaVersion", "schema_version"}) {
-        const auto field = any->fields().find(name);
-        if (field != any->fields().end()) {
+        const auto field = tree->fields().find(name);
+        if (field != tree->fields().end()) {
             return static_cast<std::uint32_t>(field->second.number_value());
         }
     }
-    return tl::unexpected(makeError(ConfigErrorKind::MissingField, "schemaVersion", "every record names its version"));
+    return tl::unexpected(
+        makeError(ConfigErrorKind::MissingField, "schemaVersion", "every record must have a schema version"));
 }
 
-bool isPlainText(std::string_view text, std::size_t longest)
+bool isPlainText(std::string_view text, std::size_t maxLength)
 {
-    return text.size() <= longest
+    return text.size() <= maxLength
            && std::none_of(text.begin(), text.end(), [](unsigned char c) { return c < 0x20 || c == 0x7f; });
 }
 
 /// Records the first error of a record.
-class Checker
+class RecordValidator
 {
 public:
-    explicit Checker(std::string record)
+    explicit RecordValidator(std::string record)
         : record_(std::move(record))
     {
     }
@@ -94,42 +95,43 @@
             error_ = makeError(kind, record_ + "." + field, std::move(detail));
         }
     }
-    void name(const std::string &field, std::string_view value)
+    void checkName(const std::string &field, std::string_view value)
     {
         if (value.empty()) {
             fail(ConfigErrorKind::MissingField, field, "must not be empty");
-        } else if (!isPlainText(value, longestName) || value.find('@') != std::string_view::npos) {
-            fail(ConfigErrorKind::OutOfRange, field, "at most 256 characters, no control characters, no '@'");
+        } else if (!isPlainText(value, maxNameLength) || value.find('@') != std::string_view::npos) {
+            fail(ConfigErrorKind::OutOfRange, field,
+                 "must have at most 256 characters, no control characters and no '@'");
         }
     }
-    void text(const std::string &field, std::string_view value)
+    void checkText(const std::string &field, std::string_view value)
     {
-        if (!isPlainText(value, longestWeights)) {
-            fail(ConfigErrorKind::OutOfRange, field, "too long, or a control character");
+        if (!isPlainText(value, maxWeightsLength)) {
+            fail(ConfigErrorKind::OutOfRange, field, "must have at most 2048 characters and no control characters");
         }
     }
-    void atMost(const std::string &field, std::uint64_t value, std::uint64_t limit)
+    void checkMax(const std::string &field, std::uint64_t value, std::uint64_t limit)
     {
         if (value > limit) {
-            fail(ConfigErrorKind::OutOfRange, field, "at most " + std::to_string(limit));
+            fail(ConfigErrorKind::OutOfRange, field, "must be at most " + std::to_string(limit));
         }
     }
-    void number(const std::string &field, double value)
+    void checkNumber(const std::string &field, double value)
     {
         if (!std::isfinite(value) || value < 0) {
-            fail(ConfigErrorKind::OutOfRange, field, "a finite number, not negative");
+            fail(ConfigErrorKind::OutOfRange, field, "must be a finite, non-negative number");
         }
     }
-    std::optional<CallClass> callClass(const std::string &field, const std::string &value)
+    std::optional<CallClass> parseCallClass(const std::string &field, const std::string &value)
     {
         if (value.empty()) {
             return std::nullopt;
         }
-        const auto known = fromString<CallClass>(value);
-        if (!known) {
-            fail(ConfigErrorKind::OutOfRange, field, "urgent, normal or bulk");
+        const auto parsed = fromString<CallClass>(value);
+        if (!parsed) {
+            fail(ConfigErrorKind::OutOfRange, field, "must be urgent, normal or bulk");
         }
-        return known;
+        return parsed;
     }
     tl::expected<RecordForm, ConfigError> result(RecordForm form)
     {
@@ -144,40 +146,40 @@
     std::optional<ConfigError> error_;
 };
 
-void checkVersions(Checker &check, const RecordForm &form)
+void checkVersions(RecordValidator &check, const RecordForm &form)
 {
-    check.name("baseModel", form.baseModel);
+    check.checkName("baseModel", form.baseModel);
     if (form.versions.empty()) {
-        check.fail(ConfigErrorKind::MissingField, "versions", "at least one");
+        check.fail(ConfigErrorKind::MissingField, "versions", "at least one version is required");
     }
-    check.atMost("versions", form.versions.size(), mostVersions);
+    check.checkMax("versions", form.versions.size(), maxVersions);
     std::vector<std::string_view> names;
     for (std::size_t i = 0; i < form.versions.size(); ++i) {
         const std::string field = "versions[" + std::to_string(i) + "]";
-        check.name(field + ".name", form.versions[i].name);
-        check.text(field + ".weights", form.versions[i].weights);
+        check.checkName(field + ".name", form.versions[i].name);
+        check.checkText(field + ".weights", form.versions[i].weights);
         names.push_back(form.versions[i].name);
     }
     std::sort(names.begin(), names.end());
     if (std::adjacent_find(names.begin(), names.end()) != names.end()) {
-        check.fail(ConfigErrorKind::OutOfRange, "versions", "a version stands twice");
+        check.fail(ConfigErrorKind::OutOfRange, "versions", "duplicate version name");
     }
 }
 
-void checkRoute(Checker &check, const RecordForm &form)
+void checkRoute(RecordValidator &check, const RecordForm &form)
 {
-    check.name("adapter", form.adapter);
-    check.name("version", form.version);
+    check.checkName("adapter", form.adapter);
+    check.checkName("version", form.version);
     if (!form.nextVersion.empty()) {
-        check.name("nextVersion", form.nextVersion);
+        check.checkName("nextVersion", form.nextVersion);
     }
-    check.atMost("deadlineMs", form.deadlineMs, longestDeadlineMs);
+    check.checkMax("deadlineMs", form.deadlineMs, maxDeadlineMs);
 }
 
-tl::expected<RecordForm, ConfigError> finish(Checker &check, RecordForm form)
+tl::expected<RecordForm, ConfigError> validateRecord(RecordValidator &check, RecordForm form)
 {
-    check.name("name", form.name);
-    check.atMost("deadlineMs", form.deadlineMs, longestDeadlineMs);
+    check.checkName("name", form.name);
+    check.checkMax("deadlineMs", form.deadlineMs, maxDeadlineMs);
     if (form.kind == RecordKind::Adapter) {
         checkVersions(check, form);
     } else if (form.kind == RecordKind::Route) {
@@ -185,8 +187,8 @@
     } else if (form.kind == RecordKind::Service) {
         form.service.callClass = form.callClass.value_or(CallClass::Normal);
         form.service.deadline = Milliseconds(form.deadlineMs);
-        if (const auto good = checkService("service/" + form.name, form.service); !good) {
-            return tl::unexpected(good.error());
+        if (const auto validated = checkService("service/" + form.name, form.service); !validated) {
+            return tl::unexpected(validated.error());
         }
     } else if (form.name != "default") {
         check.fail(ConfigErrorKind::OutOfRange, "name", "the one policy record is named \"default\"");
@@ -201,22 +203,22 @@
     form.name = record.name();
     const auto kind = fromString<RecordKind>(record.kind());
     if (!kind || *kind == RecordKind::Policy) {
-        return tl::unexpected(makeError(ConfigErrorKind::OutOfRange, "kind", "adapter, route or service"));
+        return tl::unexpected(makeError(ConfigErrorKind::OutOfRange, "kind", "must be adapter, route or service"));
     }
     form.kind = *kind;
-    Checker check(record.kind() + "/" + record.name());
-    const bool adapter = form.kind == RecordKind::Adapter;
-    const bool route = form.kind == RecordKind::Route;
-    if (!adapter && (!record.base_model().empty() || record.versions_size() != 0 || !record.weights().empty())) {
+    RecordValidator check(record.kind() + "/" + record.name());
+    const bool isAdapter = form.kind == RecordKind::Adapter;
+    const bool isRoute = form.kind == RecordKind::Route;
+    if (!isAdapter && (!record.base_model().empty() || record.versions_size() != 0 || !record.weights().empty())) {
         check.fail(ConfigErrorKind::UnknownField, "versions", "only an adapter has base model, versions and weights");
     }
-    if (!route && (!record.adapter().empty() || !record.version().empty())) {
-        check.fail(ConfigErrorKind::UnknownField, "adapter", "only a route names an adapter and a version");
+    if (!isRoute && (!record.adapter().empty() || !record.version().empty())) {
+        check.fail(ConfigErrorKind::UnknownField, "adapter", "only a route has an adapter and a version");
     }
     if (form.kind != RecordKind::Service && record.repeatable()) {
         check.fail(ConfigErrorKind::UnknownField, "repeatable", "only a service may be repeatable");
     }
-    if (adapter && (record.deadline_ms() != 0 || !record.priority().empty())) {
+    if (isAdapter && (record.deadline_ms() != 0 || !record.priority().empty())) {
         check.fail(ConfigErrorKind::UnknownField, "deadlineMs", "an adapter has no deadline and no priority");
     }
     form.baseModel = record.base_model();
@@ -226,23 +228,23 @@
     form.adapter = record.adapter();
     form.version = record.version();
     form.deadlineMs = record.deadline_ms();
-    form.callClass = check.callClass("priority", record.priority());
+    form.callClass = check.parseCallClass("priority", record.priority());
     form.service.idempotent = record.repeatable();
-    return finish(check, std::move(form));
+    return validateRecord(check, std::move(form));
 }
 
-void readService(Checker &check, const config::ServiceV2 &service, RecordForm &form)
+void readService(RecordValidator &check, const config::ServiceV2 &service, RecordForm &form)
 {
     form.deadlineMs = service.deadline_ms();
-    form.callClass = check.callClass("callClass", service.call_class());
+    form.callClass = check.parseCallClass("callClass", service.call_class());
     form.service.idempotent = service.idempotent();
     if (service.slots() != 0) {
         form.service.slots = service.slots();
     }
-    check.atMost("slots", service.slots(), mostSlots);
-    check.atMost("windowS", service.window_s(), longestWindowS);
-    check.atMost("skewMs", service.skew_ms(), largestSkewMs);
-    check.atMost("marginMs", service.margin_ms(), largestMarginMs);
+    check.checkMax("slots", service.slots(), maxSlots);
+    check.checkMax("windowS", service.window_s(), maxWindowS);
+    check.checkMax("skewMs", service.skew_ms(), maxSkewMs);
+    check.checkMax("marginMs", service.margin_ms(), maxMarginMs);
     if (service.window_s() != 0) {
         form.service.window = Seconds(service.window_s());
     }
@@ -255,42 +257,43 @@
 }
 
 /// Zero means "not set" and keeps the default, except for fields in which zero is a valid value.
-void readPolicy(Checker &check, const config::PolicyV2 &policy, RecordForm &form)
+void readPolicy(RecordValidator &check, const config::PolicyV2 &policy, RecordForm &form)
 {
-    Policy &to = form.policy;
-    const auto take = [&check](const char *field, double value, double &into) {
-        check.number(field, value);
+    Policy &result = form.policy;
+    const auto setIfGiven = [&check](const char *field, double value, double &into) {
+        check.checkNumber(field, value);
         if (value != 0) {
             into = value;
         }
     };
-    take("stallWeight", policy.stall_weight(), to.stallWeight);
-    take("batchWeight", policy.batch_weight(), to.batchWeight);
-    take("loadRate", policy.load_rate(), to.loadRate);
-    take("retryBudget", policy.retry_budget(), to.retryBudget);
-    take("hedgeQuantile", policy.hedge_quantile(), to.hedgeQuantile);
+    setIfGiven("stallWeight", policy.stall_weight(), result.stallWeight);
+    setIfGiven("batchWeight", policy.batch_weight(), result.batchWeight);
+    setIfGiven("loadRate", policy.load_rate(), result.loadRate);
+    setIfGiven("retryBudget", policy.retry_budget(), result.retryBudget);
+    setIfGiven("hedgeQuantile", policy.hedge_quantile(), result.hedgeQuantile);
     if (policy.hedge_quantile() > 1) {
-        check.fail(ConfigErrorKind::OutOfRange, "hedgeQuantile", "from 0 to 1");
+        check.fail(ConfigErrorKind::OutOfRange, "hedgeQuantile", "must be between 0 and 1");
     }
     if (policy.parallel_loads() != 0) {
-        to.parallelLoads = policy.parallel_loads();
+        result.parallelLoads = policy.parallel_loads();
     }
-    to.reservedSlots = policy.reserved_slots();
-    if (policy.class_weights_size() != 0 && policy.class_weights_size() != static_cast<int>(to.classWeights.size())) {
-        check.fail(ConfigErrorKind::OutOfRange, "classWeights", "one weight for each class");
+    result.reservedSlots = policy.reserved_slots();
+    if (policy.class_weights_size() != 0
+        && policy.class_weights_size() != static_cast<int>(result.classWeights.size())) {
+        check.fail(ConfigErrorKind::OutOfRange, "classWeights", "must have one weight per call class");
     } else {
         for (int i = 0; i < policy.class_weights_size(); ++i) {
-            take("classWeights", policy.class_weights(i), to.classWeights[static_cast<std::size_t>(i)]);
+            setIfGiven("classWeights", policy.class_weights(i), result.classWeights[static_cast<std::size_t>(i)]);
         }
     }
     if (policy.cancel_delay_ms() != 0) {
-        to.cancelDelay = Milliseconds(policy.cancel_delay_ms());
+        result.cancelDelay = Milliseconds(policy.cancel_delay_ms());
     }
     if (policy.queue_limit() != 0) {
-        to.queueLimit = policy.queue_limit();
+        result.queueLimit = policy.queue_limit();
     }
     if (policy.default_deadline_ms() != 0) {
-        to.defaultDeadline = Milliseconds(policy.default_deadline_ms());
+        result.defaultDeadline = Milliseconds(policy.default_deadline_ms());
     }
 }
 
@@ -322,18 +325,18 @@
         form.kind = RecordKind::Policy;
         break;
     case config::RecordV2::BODY_NOT_SET:
-        return tl::unexpected(
-            makeError(ConfigErrorKind::MissingField, record.name(), "adapter, route, service or policy"));
+        return tl::unexpected(makeError(ConfigErrorKind::MissingField, record.name(),
+                                        "must have a body: adapter, route, service or policy"));
     }
-    Checker check(std::string(toString(form.kind)) + "/" + form.name);
+    RecordValidator check(std::string(toString(form.kind)) + "/" + form.name);
     if (form.kind == RecordKind::Route) {
-        form.callClass = check.callClass("callClass", record.route().call_class());
+        form.callClass = check.parseCallClass("callClass", record.route().call_class());
     } else if (form.kind == RecordKind::Service) {
         readService(check, record.service(), form);
     } else if (form.kind == RecordKind::Policy) {
         readPolicy(check, record.policy(), form);
     }
-    return finish(check, std::move(form));
+    return validateRecord(check, std::move(form));
 }
 
 } // namespace
@@ -363,29 +366,29 @@
 
 tl::expected<RecordForm, ConfigError> readRecord(std::string_view json)
 {
-    if (json.size() > largestRecord) {
+    if (json.size() > maxRecordBytes) {
         return tl::unexpected(makeError(ConfigErrorKind::TooLarge, "", "a record has at most 64 KB"));
     }
-    auto newest = readJson<config::RecordV2>(json);
-    if (newest && newest->schema_version() == 2) {
-        return fromV2(*newest);
+    auto v2Record = readJson<config::RecordV2>(json);
+    if (v2Record && v2Record->schema_version() == 2) {
+        return fromV2(*v2Record);
     }
     const auto version = schemaVersionOf(json);
     if (!version) {
         return tl::unexpected(version.error());
     }
     if (*version == 2) {
-        return tl::unexpected(newest.error());
+        return tl::unexpected(v2Record.error());
     }
     if (*version != 1) {
         return tl::unexpected(makeError(ConfigErrorKind::UnknownSchemaVersion, "schemaVersion",
                                         "this build reads versions 1 and 2, not " + std::to_string(*version)));
     }
-    const auto first = readJson<config::RecordV1>(json);
-    if (!first) {
-        return tl::unexpected(first.error());
+    const auto v1Record = readJson<config::RecordV1>(json);
+    if (!v1Record) {
+        return tl::unexpected(v1Record.error());
     }
-    return fromV1(*first);
+    return fromV1(*v1Record);
 }
 
 tl::expected<config::Change, ConfigError> parseRecord(std::string_view json)
--- a/src/state/record_text.cpp
+++ b/src/state/record_text.cpp
@@ -13,30 +13,30 @@
     {
         out_ += '{';
     }
-    void key(std::string_view name)
+    void writeKey(std::string_view name)
     {
         if (!first_) {
             out_ += ',';
         }
         first_ = false;
-        appendString(name);
+        appendQuoted(name);
         out_ += ':';
     }
-    void text(std::string_view name, std::string_view value)
+    void writeText(std::string_view name, std::string_view value)
     {
         if (!value.empty()) {
-            key(name);
-            appendString(value);
+            writeKey(name);
+            appendQuoted(value);
         }
     }
-    void number(std::string_view name, std::uint64_t value)
+    void writeNumber(std::string_view name, std::uint64_t value)
     {
         if (value != 0) {
-            key(name);
+            writeKey(name);
             out_ += std::to_string(value);
         }
     }
-    void appendString(std::string_view value)
+    void appendQuoted(std::string_view value)
     {
         out_ += '"';
         for (const char c : value) {
@@ -57,56 +57,56 @@
     bool first_ = true;
 };
 
-std::string_view className(const RecordForm &form)
+std::string_view callClassName(const RecordForm &form)
 {
     return form.callClass ? toString(*form.callClass) : std::string_view();
 }
 
 void writeV1(const RecordForm &form, ObjectWriter &object, std::string &out)
 {
-    object.text("kind", toString(form.kind));
-    object.text("name", form.name);
+    object.writeText("kind", toString(form.kind));
+    object.writeText("name", form.name);
     if (form.kind == RecordKind::Adapter) {
-        object.text("baseModel", form.baseModel);
-        object.key("versions");
+        object.writeText("baseModel", form.baseModel);
+        object.writeKey("versions");
         out += '[';
         for (std::size_t i = 0; i < form.versions.size(); ++i) {
             out += i == 0 ? "" : ",";
-            object.appendString(form.versions[i].name);
+            object.appendQuoted(form.versions[i].name);
         }
         out += ']';
-        object.text("weights", form.versions.empty() ? std::string_view() : form.versions.front().weights);
+        object.writeText("weights", form.versions.empty() ? std::string_view() : form.versions.front().weights);
         return;
     }
-    object.text("adapter", form.adapter);
-    object.text("version", form.version);
-    object.number("deadlineMs", form.deadlineMs);
-    object.text("priority", className(form));
+    object.writeText("adapter", form.adapter);
+    object.writeText("version", form.version);
+    object.writeNumber("deadlineMs", form.deadlineMs);
+    object.writeText("priority", callClassName(form));
 }
 
 void writeV2(const RecordForm &form, ObjectWriter &object, std::string &out)
 {
-    object.text("name", form.name);
-    object.key(toString(form.kind));
+    object.writeText("name", form.name);
+    object.writeKey(toString(form.kind));
     ObjectWriter body(out);
     if (form.kind == RecordKind::Adapter) {
-        body.text("baseModel", form.baseModel);
-        body.key("versions");
+        body.writeText("baseModel", form.baseModel);
+        body.writeKey("versions");
         out += '[';
         for (std::size_t i = 0; i < form.versions.size(); ++i) {
             out += i == 0 ? "" : ",";
             ObjectWriter version(out);
-            version.text("name", form.versions[i].name);
-            version.text("weights", form.versions[i].weights);
+            version.writeText("name", form.versions[i].name);
+            version.writeText("weights", form.versions[i].weights);
             version.close();
         }
         out += ']';
     } else {
-        body.text("adapter", form.adapter);
-        body.text("version", form.version);
-        body.number("deadlineMs", form.deadlineMs);
-        body.text("callClass", className(form));
-        body.text("nextVersion", form.nextVersion);
+        body.writeText("adapter", form.adapter);
+        body.writeText("version", form.version);
+        body.writeNumber("deadlineMs", form.deadlineMs);
+        body.writeText("callClass", callClassName(form));
+        body.writeText("nextVersion", form.nextVersion);
     }
     body.close();
 }
@@ -117,7 +117,7 @@
 {
     std::string out;
     ObjectWriter object(out);
-    object.number("schemaVersion", form.schemaVersion);
+    object.writeNumber("schemaVersion", form.schemaVersion);
     if (form.schemaVersion == 1) {
         writeV1(form, object, out);
     } else {
--- a/src/state/seen_keys.cpp
+++ b/src/state/seen_keys.cpp
@@ -17,13 +17,13 @@
     std::uint64_t low = 0;
     auto operator<=>(const KeyBits &) const = default; // NOLINT(modernize-use-nullptr): not a pointer
 
-    WallTime stamp() const
+    WallTime timestamp() const
     {
         return WallTime{static_cast<std::int64_t>(high >> 16)};
     }
 };
 
-KeyBits bitsOf(std::string_view key)
+KeyBits parseKeyBits(std::string_view key)
 {
     KeyBits bits;
     unsigned digits = 0;
@@ -38,7 +38,7 @@
     return bits;
 }
 
-std::string textOf(const KeyBits &bits)
+std::string formatKey(const KeyBits &bits)
 {
     constexpr std::string_view hexDigits = "0123456789abcdef";
     std::string text;
@@ -57,7 +57,7 @@
     return std::chrono::duration_cast<Milliseconds>(span).count();
 }
 
-std::size_t sizeOf(const KeptAnswer &answer)
+std::size_t answerSize(const KeptAnswer &answer)
 {
     std::size_t bytes = sizeof(KeptAnswer) + answer.body.size();
     for (const auto &[name, value] : answer.headers) {
@@ -66,7 +66,7 @@
     return bytes;
 }
 
-KeyDecision refuse(RefusalReason reason, bool provedNotRun)
+KeyDecision makeRefusal(RefusalReason reason, bool provedNotRun)
 {
     KeyDecision decision;
     decision.kind = KeyDecisionKind::Refuse;
@@ -79,7 +79,7 @@
 
 struct SeenKeys::Impl
 {
-    struct Seen
+    struct KeyEntry
     {
         std::uint64_t fingerprint = 0;
         ExecutionHandle execution; // none after it has ended
@@ -88,18 +88,18 @@
     };
 
     Limits limits;
-    std::map<KeyBits, Seen> keys; // oldest stamp first
-    std::deque<KeyBits> answered; // keys with an answer, in order of completion; may contain removed keys
+    std::map<KeyBits, KeyEntry> keys; // oldest stamp first
+    std::deque<KeyBits> answeredKeys; // keys with an answer, in order of completion; may contain removed keys
     std::size_t answerBytes = 0;
     // Largest wall time seen. Prevents a clock that is set back from making a removed key valid again.
-    WallTime latest;
+    WallTime latestWallTime;
     // All removed keys are stamped before this time.
-    WallTime forgottenBefore;
+    WallTime removedBefore;
 
-    KeyDecision onKnown(const Seen &seen, std::uint64_t fingerprint) const;
-    void forgetBefore(WallTime threshold);
-    void dropAnswer(Seen &seen);
-    void keepAnswer(const KeyBits &bits, Seen &seen, KeptAnswer answer);
+    KeyDecision decideKnownKey(const KeyEntry &keyEntry, std::uint64_t fingerprint) const;
+    void removeBefore(WallTime threshold);
+    void dropAnswer(KeyEntry &keyEntry);
+    void cacheAnswer(const KeyBits &bits, KeyEntry &keyEntry, KeptAnswer answer);
 };
 
 SeenKeys::SeenKeys(Limits limits)
@@ -110,104 +110,104 @@
 
 SeenKeys::~SeenKeys() = default;
 
-KeyDecision SeenKeys::Impl::onKnown(const Seen &seen, std::uint64_t fingerprint) const
+KeyDecision SeenKeys::Impl::decideKnownKey(const KeyEntry &keyEntry, std::uint64_t fingerprint) const
 {
     // A key runs at most one request. Another request under it has not run, since only this owner handles the key.
-    if (seen.fingerprint != fingerprint) {
-        return refuse(RefusalReason::KeyReused, true);
+    if (keyEntry.fingerprint != fingerprint) {
+        return makeRefusal(RefusalReason::KeyReused, true);
     }
     KeyDecision decision;
-    if (seen.execution) {
+    if (keyEntry.execution) {
         decision.kind = KeyDecisionKind::Attach;
-        decision.execution = seen.execution;
+        decision.execution = keyEntry.execution;
         return decision;
     }
-    if (seen.answer) {
+    if (keyEntry.answer) {
         decision.kind = KeyDecisionKind::Replay;
-        decision.answer = seen.answer;
+        decision.answer = keyEntry.answer;
         return decision;
     }
-    return refuse(RefusalReason::KeyTooOld, false);
+    return makeRefusal(RefusalReason::KeyTooOld, false);
 }
 
-void SeenKeys::Impl::dropAnswer(Seen &seen)
+void SeenKeys::Impl::dropAnswer(KeyEntry &keyEntry)
 {
-    if (seen.answer) {
-        answerBytes -= sizeOf(*seen.answer);
-        seen.answer.reset();
+    if (keyEntry.answer) {
+        answerBytes -= answerSize(*keyEntry.answer);
+        keyEntry.answer.reset();
     }
 }
 
-void SeenKeys::Impl::keepAnswer(const KeyBits &bits, Seen &seen, KeptAnswer answer)
+void SeenKeys::Impl::cacheAnswer(const KeyBits &bits, KeyEntry &keyEntry, KeptAnswer answer)
 {
-    const std::size_t bytes = sizeOf(answer);
+    const std::size_t bytes = answerSize(answer);
     if (bytes > limits.answerBytes) {
         return;
     }
-    while (answerBytes + bytes > limits.answerBytes && !answered.empty()) {
-        const auto oldest = keys.find(answered.front());
-        answered.pop_front();
+    while (answerBytes + bytes > limits.answerBytes && !answeredKeys.empty()) {
+        const auto oldest = keys.find(answeredKeys.front());
+        answeredKeys.pop_front();
         if (oldest != keys.end()) {
             dropAnswer(oldest->second);
         }
     }
-    seen.answer = std::make_shared<const KeptAnswer>(std::move(answer));
+    keyEntry.answer = std::make_shared<const KeptAnswer>(std::move(answer));
     answerBytes += bytes;
-    answered.push_back(bits);
+    answeredKeys.push_back(bits);
 }
 
-void SeenKeys::Impl::forgetBefore(WallTime threshold)
+void SeenKeys::Impl::removeBefore(WallTime threshold)
 {
-    for (auto it = keys.begin(); it != keys.end() && it->first.stamp() < threshold;) {
+    for (auto it = keys.begin(); it != keys.end() && it->first.timestamp() < threshold;) {
         if (it->second.execution) { // still running; a repeat attaches to it
             ++it;
             continue;
         }
         dropAnswer(it->second);
         it = keys.erase(it);
-        forgottenBefore = std::max(forgottenBefore, threshold);
+        removedBefore = std::max(removedBefore, threshold);
     }
-    while (!answered.empty() && !keys.contains(answered.front())) {
-        answered.pop_front();
+    while (!answeredKeys.empty() && !keys.contains(answeredKeys.front())) {
+        answeredKeys.pop_front();
     }
 }
 
 KeyDecision SeenKeys::admit(std::string_view key, std::uint64_t fingerprint, const ServiceView &service,
-                            WallTime takenAt, ExecutionHandle execution, Now now)
+                            WallTime minKeyTime, ExecutionHandle execution, Now now)
 {
     if (key.empty()) {
-        return refuse(RefusalReason::KeyMissing, true);
+        return makeRefusal(RefusalReason::KeyMissing, true);
     }
-    const auto stamp = keyTime(key);
-    if (!stamp) {
-        return refuse(RefusalReason::KeyInvalid, true);
+    const auto timestamp = keyTime(key);
+    if (!timestamp) {
+        return makeRefusal(RefusalReason::KeyInvalid, true);
     }
     expire(service, now);
-    const KeyBits bits = bitsOf(key);
-    const auto known = impl_->keys.find(bits);
-    if (known != impl_->keys.end()) {
-        return impl_->onKnown(known->second, fingerprint);
+    const KeyBits bits = parseKeyBits(key);
+    const auto found = impl_->keys.find(bits);
+    if (found != impl_->keys.end()) {
+        return impl_->decideKnownKey(found->second, fingerprint);
     }
     // The previous owner may have accepted the key and may run it after a pause. Checked before every refusal that
     // claims a proof.
-    if (*stamp < takenAt) {
-        return refuse(RefusalReason::KeyTooOld, false);
+    if (*timestamp < minKeyTime) {
+        return makeRefusal(RefusalReason::KeyTooOld, false);
     }
-    const WallTime windowStart{impl_->latest.ms - toMs(service.window)};
-    if (*stamp < std::max(windowStart, impl_->forgottenBefore)) {
-        return refuse(RefusalReason::KeyTooOld, false);
+    const WallTime windowStart{impl_->latestWallTime.ms - toMs(service.window)};
+    if (*timestamp < std::max(windowStart, impl_->removedBefore)) {
+        return makeRefusal(RefusalReason::KeyTooOld, false);
     }
     // If accepted, the key could be stamped after a successor's takeover time, which would run it again.
-    if (stamp->ms > now.wall.ms + toMs(service.skew)) {
-        return refuse(RefusalReason::KeyFromFuture, true);
+    if (timestamp->ms > now.wall.ms + toMs(service.skew)) {
+        return makeRefusal(RefusalReason::KeyFromFuture, true);
     }
     if (impl_->keys.size() >= impl_->limits.keys) {
         if (impl_->limits.safeguards.forgetOnlyOld) {
-            return refuse(RefusalReason::KeyTableFull, true);
+            return makeRefusal(RefusalReason::KeyTableFull, true);
         }
         impl_->keys.erase(impl_->keys.begin());
     }
-    impl_->keys[bits] = Impl::Seen{fingerprint, execution, nullptr, now.mono};
+    impl_->keys[bits] = Impl::KeyEntry{fingerprint, execution, nullptr, now.mono};
     KeyDecision decision;
     decision.kind = KeyDecisionKind::Run;
     decision.execution = execution;
@@ -216,30 +216,30 @@
 
 void SeenKeys::release(std::string_view key)
 {
-    const auto known = impl_->keys.find(bitsOf(key));
-    if (known != impl_->keys.end() && known->second.execution) {
-        impl_->keys.erase(known);
+    const auto found = impl_->keys.find(parseKeyBits(key));
+    if (found != impl_->keys.end() && found->second.execution) {
+        impl_->keys.erase(found);
     }
 }
 
 void SeenKeys::finish(std::string_view key, KeptAnswer answer, Now now)
 {
-    const KeyBits bits = bitsOf(key);
-    const auto known = impl_->keys.find(bits);
-    if (known == impl_->keys.end() || !known->second.execution) {
+    const KeyBits bits = parseKeyBits(key);
+    const auto found = impl_->keys.find(bits);
+    if (found == impl_->keys.end() || !found->second.execution) {
         return;
     }
-    known->second.execution = {};
-    known->second.endedAt = now.mono;
+    found->second.execution = {};
+    found->second.endedAt = now.mono;
     if (answer.outcome == CallOutcome::Complete) {
-        impl_->keepAnswer(bits, known->second, std::move(answer));
+        impl_->cacheAnswer(bits, found->second, std::move(answer));
     }
 }
 
 void SeenKeys::expire(const ServiceView &service, Now now)
 {
-    impl_->latest = std::max(impl_->latest, now.wall);
-    impl_->forgetBefore(WallTime{impl_->latest.ms - toMs(service.window)});
+    impl_->latestWallTime = std::max(impl_->latestWallTime, now.wall);
+    impl_->removeBefore(WallTime{impl_->latestWallTime.ms - toMs(service.window)});
 }
 
 std::size_t SeenKeys::size() const
@@ -254,25 +254,25 @@
 
 void SeenKeys::exportSlot(std::uint32_t slot, std::uint32_t slots, Now now, wire::SlotHandover &into) const
 {
-    into.set_forgotten_before_ms(static_cast<std::uint64_t>(impl_->forgottenBefore.ms));
-    for (const auto &[bits, seen] : impl_->keys) {
-        const std::string key = textOf(bits);
+    into.set_forgotten_before_ms(static_cast<std::uint64_t>(impl_->removedBefore.ms));
+    for (const auto &[bits, keyEntry] : impl_->keys) {
+        const std::string key = formatKey(bits);
         if (slotOf(key, slots) != slot) {
             continue;
         }
         auto &out = *into.add_keys();
         out.set_key(key);
-        out.set_fingerprint(seen.fingerprint);
-        out.set_outcome(static_cast<std::uint32_t>(seen.answer ? seen.answer->outcome : CallOutcome::Unknown));
-        out.set_age_us(static_cast<std::uint64_t>((now.mono - seen.endedAt).count()));
-        if (!seen.answer) {
+        out.set_fingerprint(keyEntry.fingerprint);
+        out.set_outcome(static_cast<std::uint32_t>(keyEntry.answer ? keyEntry.answer->outcome : CallOutcome::Unknown));
+        out.set_age_us(static_cast<std::uint64_t>((now.mono - keyEntry.endedAt).count()));
+        if (!keyEntry.answer) {
             continue;
         }
         out.set_answer_kept(true);
-        out.set_status(seen.answer->status);
-        out.set_failure(static_cast<std::uint32_t>(seen.answer->failure));
-        out.set_answer(seen.answer->body);
-        for (const auto &[name, value] : seen.answer->headers) {
+        out.set_status(keyEntry.answer->status);
+        out.set_failure(static_cast<std::uint32_t>(keyEntry.answer->failure));
+        out.set_answer(keyEntry.answer->body);
+        for (const auto &[name, value] : keyEntry.answer->headers) {
             auto &header = *out.add_headers();
             header.set_name(name);
             header.set_value(value);
@@ -286,20 +286,20 @@
     if (impl_->keys.size() + static_cast<std::size_t>(part.keys_size()) > 2 * impl_->limits.keys) {
         return false;
     }
-    impl_->forgottenBefore =
-        std::max(impl_->forgottenBefore, WallTime{static_cast<std::int64_t>(part.forgotten_before_ms())});
+    impl_->removedBefore =
+        std::max(impl_->removedBefore, WallTime{static_cast<std::int64_t>(part.forgotten_before_ms())});
     for (const auto &from : part.keys()) {
         if (!keyTime(from.key())) {
             continue;
         }
-        const KeyBits bits = bitsOf(from.key());
-        const auto [entry, added] = impl_->keys.try_emplace(bits);
-        Impl::Seen &seen = entry->second;
-        if (!added && (seen.execution || seen.answer)) {
+        const KeyBits bits = parseKeyBits(from.key());
+        const auto [entry, isNew] = impl_->keys.try_emplace(bits);
+        Impl::KeyEntry &keyEntry = entry->second;
+        if (!isNew && (keyEntry.execution || keyEntry.answer)) {
             continue; // the local entry has more information
         }
-        seen.fingerprint = from.fingerprint();
-        seen.endedAt = now.mono;
+        keyEntry.fingerprint = from.fingerprint();
+        keyEntry.endedAt = now.mono;
         if (from.answer_kept()) {
             KeptAnswer answer;
             answer.outcome = fromWire(from.outcome(), CallOutcome::Unknown);
@@ -309,7 +309,7 @@
             for (const auto &header : from.headers()) {
                 answer.headers.emplace_back(header.name(), header.value());
             }
-            impl_->keepAnswer(bits, seen, std::move(answer));
+            impl_->cacheAnswer(bits, keyEntry, std::move(answer));
         }
     }
     return true;
--- a/src/state/slot_owner.cpp
+++ b/src/state/slot_owner.cpp
@@ -1,6 +1,6 @@
 // Ownership of a service's slots: one table, changed only by compare-and-swap, and one lease per sidecar.
 // Changes are planned on a fresh read of leases and table, in the reply to that read, so that the wall time written as
-// the takeover time is later than the time at which the previous owner's lease was seen to be gone.
+// the takeover time is later than the time at which the previous owner's lease was seen to be deleted.
 #include "slot_owner_impl.h"
 
 #include <algorithm>
@@ -8,9 +8,9 @@
 namespace anvilscale {
 namespace {
 
-constexpr Duration firstWait = Milliseconds(100);
+constexpr Duration initialBackoff = Milliseconds(100);
 
-std::uint64_t hexNumber(std::string_view text)
+std::uint64_t parseHex(std::string_view text)
 {
     std::uint64_t value = 0;
     for (const char c : text) {
@@ -21,7 +21,7 @@
 
 } // namespace
 
-std::string incarnationText(std::uint64_t value)
+std::string formatIncarnation(std::uint64_t value)
 {
     constexpr unsigned digits = 16;
     std::string text;
@@ -31,20 +31,20 @@
     return text;
 }
 
-SlotOwner::Impl::Impl(Init from, std::function<void(KvRequest)> to)
-    : init(std::move(from))
-    , submit(std::move(to))
+SlotOwner::Impl::Impl(Init initValue, std::function<void(KvRequest)> submitRequest)
+    : init(std::move(initValue))
+    , submit(std::move(submitRequest))
     , tableKey(init.keyPrefix + "slots/" + init.service)
     , leasePrefix(init.keyPrefix + "slot-owners/" + init.service + "/")
     , ids("slot-owner/" + init.service + "/" + init.self)
     , random(init.seed)
-    , backoff(firstWait, init.timing.lease)
+    , backoff(initialBackoff, init.timing.lease)
     , lease(leaseInit(), submit)
-    , follower(KeyFollower::Init{tableKey, {}, init.timers, init.timing.lease, init.seed + 1}, submit,
-               [this](const std::vector<KvEntry> &entries, bool, Now now) {
-                   takeTable(entries);
-                   planIn(soon, now);
-               })
+    , tableWatch(KeyFollower::Init{tableKey, {}, init.timers, init.timing.lease, init.seed + 1}, submit,
+                 [this](const std::vector<KvEntry> &entries, bool, Now now) {
+                     updateTable(entries);
+                     schedulePlan(replanDelay, now);
+                 })
 {
 }
 
@@ -56,15 +56,15 @@
 
 LeaseKeeper::Init SlotOwner::Impl::leaseInit() const
 {
-    LeaseKeeper::Init from;
-    from.key = leasePrefix + init.self + "/" + incarnationText(init.incarnation);
-    from.holder = init.self;
-    from.incarnation = init.incarnation;
-    from.timing = init.timing;
-    from.timers = init.timers;
-    from.seed = init.seed + 2;
-    from.safeguards = init.safeguards;
-    return from;
+    LeaseKeeper::Init result;
+    result.key = leasePrefix + init.self + "/" + formatIncarnation(init.incarnation);
+    result.holder = init.self;
+    result.incarnation = init.incarnation;
+    result.timing = init.timing;
+    result.timers = init.timers;
+    result.seed = init.seed + 2;
+    result.safeguards = init.safeguards;
+    return result;
 }
 
 std::uint32_t SlotOwner::Impl::slotCount() const
@@ -73,25 +73,25 @@
     return view ? view->slots : 0;
 }
 
-bool SlotOwner::Impl::mine(const SlotState &slot) const
+bool SlotOwner::Impl::isOwnedBySelf(const SlotState &slot) const
 {
     return slot.owner.name == init.self && slot.owner.incarnation == init.incarnation;
 }
 
 /// A reacquired lease does not restore the ownership: another sidecar may have claimed the slots meanwhile, and this
 /// copy of the table may be older.
-bool SlotOwner::Impl::mineUnderLease(const config::SlotRange &range) const
+bool SlotOwner::Impl::isOwnedUnderLease(const config::SlotRange &range) const
 {
     return range.owner() == init.self && range.owner_incarnation() == init.incarnation
            && range.lease() == lease.fence();
 }
 
-void SlotOwner::Impl::planIn(Duration wait, Now now)
+void SlotOwner::Impl::schedulePlan(Duration wait, Now now)
 {
     init.timers->cancel(planTimer);
     planTimer = init.timers->subscribe(now.mono + wait, [this, now](TimePoint at) {
         planTimer = {};
-        beginPlan(laterNow(now, at));
+        beginPlan(advanceNow(now, at));
     });
 }
 
@@ -109,11 +109,11 @@
 void SlotOwner::Impl::beginPlan(Now now)
 {
     if (step != Step::Idle) {
-        planAgain = true;
+        needsReplan = true;
         return;
     }
     if (!lease.mayAct(now.mono) || slotCount() == 0) {
-        planIn(random.jitter(init.timing.heartbeat), now);
+        schedulePlan(random.jitter(init.timing.heartbeat), now);
         return;
     }
     std::string end = leasePrefix;
@@ -121,38 +121,38 @@
     read(Step::ReadingLeases, leasePrefix, std::move(end));
 }
 
-void SlotOwner::Impl::takeTable(const std::vector<KvEntry> &entries)
+void SlotOwner::Impl::updateTable(const std::vector<KvEntry> &entries)
 {
     for (const auto &entry : entries) {
-        config::SlotTable fresh;
-        if (entry.key != tableKey || entry.modRevision <= tableMod) {
+        config::SlotTable newTable;
+        if (entry.key != tableKey || entry.modRevision <= tableModRevision) {
             continue;
         }
-        if (!entry.deleted && !fresh.ParseFromString(entry.value)) {
+        if (!entry.deleted && !newTable.ParseFromString(entry.value)) {
             continue;
         }
-        table = std::move(fresh);
-        tableMod = entry.modRevision;
+        table = std::move(newTable);
+        tableModRevision = entry.modRevision;
     }
-    if (!giving) {
+    if (!transfer) {
         return;
     }
-    const auto &given = giving->slots();
-    const bool anyOurs = std::any_of(given.begin(), given.end(), [this](std::uint32_t slot) {
-        const auto *range = rangeOf(table, slot);
+    const auto &transferred = transfer->slots();
+    const bool ownsAny = std::any_of(transferred.begin(), transferred.end(), [this](std::uint32_t slot) {
+        const auto *range = findRange(table, slot);
         return range != nullptr && range->owner() == init.self && range->owner_incarnation() == init.incarnation;
     });
-    if (!anyOurs) { // the transfer took effect, even if its reply was lost
-        giving.reset();
-        resuming = false;
+    if (!ownsAny) { // the transfer took effect, even if its reply was lost
+        transfer.reset();
+        isReclaiming = false;
     }
 }
 
-void SlotOwner::Impl::onLeases(const KvReply &reply, Now now)
+void SlotOwner::Impl::onLeasesReply(const KvReply &reply, Now now)
 {
     if (reply.status != KvStatus::Ok) {
         step = Step::Idle;
-        planIn(backoff.next(random), now);
+        schedulePlan(backoff.next(random), now);
         return;
     }
     holders.clear();
@@ -161,48 +161,48 @@
         const std::string_view id = std::string_view(entry.key).substr(leasePrefix.size());
         const auto slash = id.rfind('/');
         if (slash != std::string_view::npos) {
-            const OwnerId owner{std::string(id.substr(0, slash)), hexNumber(id.substr(slash + 1))};
+            const OwnerId owner{std::string(id.substr(0, slash)), parseHex(id.substr(slash + 1))};
             holders[owner] = entry.modRevision;
         }
     }
     read(Step::ReadingTable, tableKey, {});
 }
 
-void SlotOwner::Impl::onTable(const KvReply &reply, Now now)
+void SlotOwner::Impl::onTableReply(const KvReply &reply, Now now)
 {
     step = Step::Idle;
     if (reply.status != KvStatus::Ok) {
-        planIn(backoff.next(random), now);
+        schedulePlan(backoff.next(random), now);
         return;
     }
-    takeTable(reply.entries);
+    updateTable(reply.entries);
     // A read older than the cached table comes from a stale replica and is not used. Neither is a list of leases older
-    // than the table: an owner that appeared between the two would seem gone, and the takeover time would be read while
-    // it still accepts keys.
-    const std::int64_t shown = reply.entries.empty() ? 0 : reply.entries.front().modRevision;
-    if (shown < tableMod || holdersRevision < tableMod) {
-        planIn(backoff.next(random), now);
+    // than the table: an owner that appeared between the two would seem absent, and the takeover time would be read
+    // while it still accepts keys.
+    const std::int64_t readRevision = reply.entries.empty() ? 0 : reply.entries.front().modRevision;
+    if (readRevision < tableModRevision || holdersRevision < tableModRevision) {
+        schedulePlan(backoff.next(random), now);
         return;
     }
     backoff.reset();
     plan(now);
 }
 
-void SlotOwner::Impl::onWritten(const KvReply &reply, Now now)
+void SlotOwner::Impl::onWriteReply(const KvReply &reply, Now now)
 {
     step = Step::Idle;
     if (reply.status != KvStatus::Ok) {
         // The next read shows whether a write without a reply took effect; changes are planned again on it.
-        planIn(reply.status == KvStatus::Conflict ? random.jitter(soon * 4) : backoff.next(random), now);
+        schedulePlan(reply.status == KvStatus::Conflict ? random.jitter(replanDelay * 4) : backoff.next(random), now);
         return;
     }
-    const bool resumed = resuming;
-    takeTable({KvEntry{tableKey, written.SerializeAsString(), reply.storeRevision, 0, false}});
-    if (resumed && giving) {
-        giving.reset();
-        resuming = false;
+    const bool wasReclaiming = isReclaiming;
+    updateTable({KvEntry{tableKey, pendingTable.SerializeAsString(), reply.storeRevision, 0, false}});
+    if (wasReclaiming && transfer) {
+        transfer.reset();
+        isReclaiming = false;
     }
-    planIn(soon, now);
+    schedulePlan(replanDelay, now);
 }
 
 SlotOwner::SlotOwner(Init init, std::function<void(KvRequest)> submit)
@@ -215,8 +215,8 @@
 void SlotOwner::start(Now now)
 {
     impl_->lease.start(now);
-    impl_->follower.start(now);
-    impl_->planIn(soon, now);
+    impl_->tableWatch.start(now);
+    impl_->schedulePlan(replanDelay, now);
 }
 
 void SlotOwner::onMembers(const std::vector<std::string> &names, Now now)
@@ -228,8 +228,8 @@
         return;
     }
     impl_->members = std::move(sorted);
-    impl_->deafReceivers.clear();
-    impl_->planIn(impl_->random.jitter(soon * 4), now);
+    impl_->excludedReceivers.clear();
+    impl_->schedulePlan(impl_->random.jitter(replanDelay * 4), now);
 }
 
 bool SlotOwner::onReply(const KvReply &reply, Now now)
@@ -237,25 +237,25 @@
     const auto before = impl_->lease.state();
     if (impl_->lease.onReply(reply, now)) {
         if (impl_->lease.state() != before) {
-            impl_->planIn(soon, now);
+            impl_->schedulePlan(replanDelay, now);
         }
         return true;
     }
-    if (impl_->follower.onReply(reply, now)) {
+    if (impl_->tableWatch.onReply(reply, now)) {
         return true;
     }
     if (impl_->step == Impl::Step::Idle || reply.id != impl_->pending) {
         return false;
     }
     if (impl_->step == Impl::Step::ReadingLeases) {
-        impl_->onLeases(reply, now);
+        impl_->onLeasesReply(reply, now);
     } else if (impl_->step == Impl::Step::ReadingTable) {
-        impl_->onTable(reply, now);
+        impl_->onTableReply(reply, now);
     } else {
-        impl_->onWritten(reply, now);
+        impl_->onWriteReply(reply, now);
     }
-    if (impl_->step == Impl::Step::Idle && std::exchange(impl_->planAgain, false)) {
-        impl_->planIn(soon, now);
+    if (impl_->step == Impl::Step::Idle && std::exchange(impl_->needsReplan, false)) {
+        impl_->schedulePlan(replanDelay, now);
     }
     return true;
 }
@@ -263,16 +263,16 @@
 SlotOwnership SlotOwner::owns(std::uint32_t slot, Now now) const
 {
     SlotOwnership ownership;
-    const auto *range = rangeOf(impl_->table, slot);
+    const auto *range = findRange(impl_->table, slot);
     if (range == nullptr) {
         return ownership;
     }
     ownership.fence = range->fence();
     const auto view = impl_->init.config->service(impl_->init.service);
-    if (!view || !impl_->lease.mayAct(now.mono) || !impl_->mineUnderLease(*range)) {
+    if (!view || !impl_->lease.mayAct(now.mono) || !impl_->isOwnedUnderLease(*range)) {
         return ownership;
     }
-    if (impl_->giving && impl_->giving->holds(slot) && impl_->init.safeguards.refuseWhileGiving) {
+    if (impl_->transfer && impl_->transfer->contains(slot) && impl_->init.safeguards.refuseWhileGiving) {
         return ownership;
     }
     ownership.owned = true;
@@ -287,26 +287,26 @@
 
 void SlotOwner::drain(Now now)
 {
-    if (std::exchange(impl_->draining, true)) {
+    if (std::exchange(impl_->isDraining, true)) {
         return;
     }
-    impl_->planIn(Duration::zero(), now);
+    impl_->schedulePlan(Duration::zero(), now);
 }
 
 bool SlotOwner::drained() const
 {
-    return impl_->draining && impl_->step == Impl::Step::Idle && slots().empty();
+    return impl_->isDraining && impl_->step == Impl::Step::Idle && slots().empty();
 }
 
 bool SlotOwner::onHandover(const wire::SlotHandover &part, Now now)
 {
     // A sidecar that is draining must not become the owner: the keys would have to be transferred again at once.
-    if (part.service() != impl_->init.service || impl_->draining || impl_->init.seen == nullptr || !impl_->init.send
+    if (part.service() != impl_->init.service || impl_->isDraining || impl_->init.seen == nullptr || !impl_->init.send
         || !impl_->init.seen->importPart(part, now)) {
         return false;
     }
     // The sender is leaving or has too many slots, so nothing is transferred back to it until the members change.
-    impl_->deafReceivers.insert(part.from().name());
+    impl_->excludedReceivers.insert(part.from().name());
     wire::Envelope envelope;
     auto &ack = *envelope.mutable_slot_handover_ack();
     ack.mutable_from()->set_name(impl_->init.self);
@@ -321,12 +321,12 @@
 
 void SlotOwner::onHandoverAck(const wire::SlotHandoverAck &ack, Now now)
 {
-    if (!impl_->giving || impl_->giving->acknowledged()) {
+    if (!impl_->transfer || impl_->transfer->isAcknowledged()) {
         return;
     }
-    impl_->giving->onAck(ack);
-    if (impl_->giving->acknowledged(impl_->init.safeguards.keysBeforeTable)) {
-        impl_->planIn(Duration::zero(), now);
+    impl_->transfer->onAck(ack);
+    if (impl_->transfer->isAcknowledged(impl_->init.safeguards.keysBeforeTable)) {
+        impl_->schedulePlan(Duration::zero(), now);
     }
 }
 
@@ -334,7 +334,7 @@
 {
     impl_->init.timers->cancel(std::exchange(impl_->planTimer, {}));
     impl_->init.timers->cancel(std::exchange(impl_->resendTimer, {}));
-    impl_->follower.stop();
+    impl_->tableWatch.stop();
     impl_->lease.stop(now);
 }
 
--- a/src/state/slot_owner_impl.h
+++ b/src/state/slot_owner_impl.h
@@ -7,10 +7,10 @@
 
 namespace anvilscale {
 
-constexpr Duration soon = Milliseconds(20); // delay from a relevant change to the next plan
+constexpr Duration replanDelay = Milliseconds(20); // delay from a relevant change to the next plan
 
 /// Formats an incarnation for the lease key: hexadecimal with a fixed length, so that keys sort by it.
-std::string incarnationText(std::uint64_t incarnation);
+std::string formatIncarnation(std::uint64_t incarnation);
 
 struct SlotOwner::Impl
 {
@@ -25,53 +25,53 @@
     std::function<void(KvRequest)> submit;
     std::string tableKey;
     std::string leasePrefix;
-    KvIds ids;
+    KvRequestIds ids;
     Random random;
     Backoff backoff;
     LeaseKeeper lease;
-    KeyFollower follower; // watches the table
+    KeyFollower tableWatch; // watches the table
 
     config::SlotTable table;
-    std::int64_t tableMod = 0; // modification revision of `table`; never decreases
+    std::int64_t tableModRevision = 0; // modification revision of `table`; never decreases
     std::vector<std::string> members;
     LeaseHolders holders; // from the last read
     std::int64_t holdersRevision = 0; // store revision of that read
     Step step = Step::Idle;
     KvHandle pending;
-    bool planAgain = false; // a change arrived while a step was in progress
+    bool needsReplan = false; // a change arrived while a step was in progress
     TimerHandle planTimer;
     TimerHandle resendTimer;
-    bool draining = false;
-    std::optional<SlotGiving> giving; // transfer in progress; its slots are refused
-    bool resuming = false; // the transfer was aborted; its slots are ours again after the next write
-    std::set<std::string> deafReceivers; // did not acknowledge a transfer, or sent one to us
-    std::optional<TimePoint> orphansSince; // time since which unclaimed slots exist
-    config::SlotTable written; // table being written, in Step::Writing
+    bool isDraining = false;
+    std::optional<SlotTransfer> transfer; // transfer in progress; its slots are refused
+    bool isReclaiming = false; // the transfer was aborted; its slots are ours again after the next write
+    std::set<std::string> excludedReceivers; // did not acknowledge a transfer, or sent one to us
+    std::optional<TimePoint> unclaimedSince; // time since which unclaimed slots exist
+    config::SlotTable pendingTable; // table being written, in Step::Writing
 
-    Impl(Init from, std::function<void(KvRequest)> to);
+    Impl(Init initValue, std::function<void(KvRequest)> submitRequest);
     ~Impl();
     LeaseKeeper::Init leaseInit() const;
     std::uint32_t slotCount() const;
-    bool mine(const SlotState &slot) const;
-    bool mineUnderLease(const config::SlotRange &range) const;
-    void planIn(Duration wait, Now now);
+    bool isOwnedBySelf(const SlotState &slot) const;
+    bool isOwnedUnderLease(const config::SlotRange &range) const;
+    void schedulePlan(Duration wait, Now now);
     void read(Step next, std::string key, std::string rangeEnd);
     void beginPlan(Now now);
-    void takeTable(const std::vector<KvEntry> &entries);
-    void onLeases(const KvReply &reply, Now now);
-    void onTable(const KvReply &reply, Now now);
-    void onWritten(const KvReply &reply, Now now);
+    void updateTable(const std::vector<KvEntry> &entries);
+    void onLeasesReply(const KvReply &reply, Now now);
+    void onTableReply(const KvReply &reply, Now now);
+    void onWriteReply(const KvReply &reply, Now now);
     void plan(Now now);
-    bool moveGiven(std::vector<SlotState> &slots, std::vector<KvCompare> &compares);
+    bool completeTransfer(std::vector<SlotState> &slots, std::vector<KvCompare> &compares);
     bool reclaim(std::vector<SlotState> &slots);
     bool claim(std::vector<SlotState> &slots, std::vector<KvCompare> &compares, Now now);
     bool release(std::vector<SlotState> &slots, Now now);
     void write(const std::vector<SlotState> &slots, std::vector<KvCompare> compares);
-    void beginGiving(const std::vector<SlotState> &slots, Now now);
+    void beginTransfer(const std::vector<SlotState> &slots, Now now);
     std::string chooseReceiver(const std::vector<SlotState> &slots) const;
-    std::size_t excess(const std::vector<SlotState> &slots) const;
+    std::size_t excessSlots(const std::vector<SlotState> &slots) const;
     void resend(Now now);
-    void giveUpReceiver(Now now);
+    void abortTransfer(Now now);
 };
 
 } // namespace anvilscale
--- a/src/state/slot_plan.cpp
+++ b/src/state/slot_plan.cpp
@@ -8,35 +8,35 @@
 
 namespace {
 
-constexpr std::size_t batchSlots = 64; // slots per transfer
-constexpr Duration resendAfter = Milliseconds(300);
+constexpr std::size_t maxSlotsPerTransfer = 64;
+constexpr Duration resendInterval = Milliseconds(300);
 // Slots are moved between live owners only if one exceeds its share by this fraction: calls are refused during a move.
-constexpr std::uint32_t toleratedExcess = 32; // divisor: 1/32 of all slots
+constexpr std::uint32_t toleratedExcessDivisor = 32; // 1/32 of all slots
 
 } // namespace
 
 /// Names the receiver in the table after it has acknowledged all keys, if its lease still exists.
-bool SlotOwner::Impl::moveGiven(std::vector<SlotState> &slots, std::vector<KvCompare> &compares)
+bool SlotOwner::Impl::completeTransfer(std::vector<SlotState> &slots, std::vector<KvCompare> &compares)
 {
-    if (!giving || resuming || !giving->acknowledged(init.safeguards.keysBeforeTable)) {
+    if (!transfer || isReclaiming || !transfer->isAcknowledged(init.safeguards.keysBeforeTable)) {
         return false;
     }
-    const OwnerId receiver{giving->receiver(), giving->receiverIncarnation()};
+    const OwnerId receiver{transfer->receiver(), transfer->receiverIncarnation()};
     const auto holder = holders.find(receiver);
     if (holder == holders.end()) {
         return false;
     }
     const std::uint64_t fence = nextFence(slots);
-    for (const auto slot : giving->slots()) {
-        if (mine(slots[slot])) {
-            // `taken` is unchanged: the receiver has exactly the keys of the sender.
+    for (const auto slot : transfer->slots()) {
+        if (isOwnedBySelf(slots[slot])) {
+            // `takenOverAt` is unchanged: the receiver has exactly the keys of the sender.
             slots[slot].owner = receiver;
             slots[slot].fence = fence;
             slots[slot].lease = static_cast<std::uint64_t>(holder->second);
-            slots[slot].handedOver = true;
+            slots[slot].wasHandedOver = true;
         }
     }
-    compares.push_back({leasePrefix + receiver.name + "/" + incarnationText(receiver.incarnation), holder->second});
+    compares.push_back({leasePrefix + receiver.name + "/" + formatIncarnation(receiver.incarnation), holder->second});
     return true;
 }
 
@@ -45,62 +45,62 @@
 bool SlotOwner::Impl::reclaim(std::vector<SlotState> &slots)
 {
     const std::uint64_t fence = nextFence(slots);
-    bool changed = false;
+    bool hasChanged = false;
     for (std::uint32_t i = 0; i < slots.size(); ++i) {
-        const bool lapsed = mine(slots[i]) && slots[i].lease != lease.fence();
-        const bool resumed = resuming && giving && giving->holds(i) && mine(slots[i]);
-        if (lapsed || resumed) {
+        const bool hasLapsed = isOwnedBySelf(slots[i]) && slots[i].lease != lease.fence();
+        const bool isReclaimed = isReclaiming && transfer && transfer->contains(i) && isOwnedBySelf(slots[i]);
+        if (hasLapsed || isReclaimed) {
             slots[i].lease = lease.fence();
             slots[i].fence = fence;
-            changed = true;
+            hasChanged = true;
         }
     }
-    return changed;
+    return hasChanged;
 }
 
 bool SlotOwner::Impl::claim(std::vector<SlotState> &slots, std::vector<KvCompare> &compares, Now now)
 {
     const auto self = std::lower_bound(members.begin(), members.end(), init.self);
-    if (draining || self == members.end() || *self != init.self) {
+    if (isDraining || self == members.end() || *self != init.self) {
         return false;
     }
     const auto isFree = [this](const SlotState &slot) {
-        const bool member = std::binary_search(members.begin(), members.end(), slot.owner.name);
-        const bool gone = init.safeguards.takeOverAfterLease ? !holders.contains(slot.owner) : !member;
-        return slot.owner.name.empty() || gone;
+        const bool isMember = std::binary_search(members.begin(), members.end(), slot.owner.name);
+        const bool isOwnerGone = init.safeguards.takeOverAfterLease ? !holders.contains(slot.owner) : !isMember;
+        return slot.owner.name.empty() || isOwnerGone;
     };
-    const auto free = static_cast<std::uint32_t>(std::count_if(slots.begin(), slots.end(), isFree));
-    if (free == 0) {
-        orphansSince.reset();
+    const auto freeSlots = static_cast<std::uint32_t>(std::count_if(slots.begin(), slots.end(), isFree));
+    if (freeSlots == 0) {
+        unclaimedSince.reset();
         return false;
     }
-    orphansSince = orphansSince.value_or(now.mono);
+    unclaimedSince = unclaimedSince.value_or(now.mono);
     const auto owned = static_cast<std::uint32_t>(
-        std::count_if(slots.begin(), slots.end(), [this](const SlotState &slot) { return mine(slot); }));
+        std::count_if(slots.begin(), slots.end(), [this](const SlotState &slot) { return isOwnedBySelf(slot); }));
     const std::uint32_t share = fairShare(slotCount(), members.size());
     // The other members had the duration of a lease to claim their shares; what is left belongs to members that do not
     // exist.
-    const bool orphaned = now.mono - *orphansSince >= init.timing.lease;
-    std::uint32_t wanted = orphaned ? free : share - std::min(share, owned);
+    const bool isOrphaned = now.mono - *unclaimedSince >= init.timing.lease;
+    std::uint32_t remaining = isOrphaned ? freeSlots : share - std::min(share, owned);
     const std::uint64_t fence = nextFence(slots);
     const auto rank = static_cast<std::size_t>(self - members.begin());
-    std::set<OwnerId> gone;
-    for (std::size_t n = 0; n < slots.size() && wanted > 0; ++n) {
-        auto &slot = slots[(n + rank * share) % slots.size()];
+    std::set<OwnerId> goneOwners;
+    for (std::size_t offset = 0; offset < slots.size() && remaining > 0; ++offset) {
+        auto &slot = slots[(offset + rank * share) % slots.size()];
         if (!isFree(slot)) {
             continue;
         }
         if (!slot.owner.name.empty()) {
-            gone.insert(slot.owner);
+            goneOwners.insert(slot.owner);
         }
         slot = SlotState{{init.self, init.incarnation}, fence, lease.fence(), now.wall, false};
-        --wanted;
+        --remaining;
     }
-    for (const auto &owner : gone) {
+    for (const auto &owner : goneOwners) {
         if (!init.safeguards.takeOverAfterLease) {
             break;
         }
-        compares.push_back({leasePrefix + owner.name + "/" + incarnationText(owner.incarnation), 0});
+        compares.push_back({leasePrefix + owner.name + "/" + formatIncarnation(owner.incarnation), 0});
     }
     return std::any_of(slots.begin(), slots.end(), [&](const SlotState &slot) { return slot.fence == fence; });
 }
@@ -109,137 +109,137 @@
 bool SlotOwner::Impl::release(std::vector<SlotState> &slots, Now now)
 {
     const std::uint64_t fence = nextFence(slots);
-    bool changed = false;
+    bool hasChanged = false;
     for (auto &slot : slots) {
-        if (mine(slot)) {
+        if (isOwnedBySelf(slot)) {
             slot = SlotState{{}, fence, 0, now.wall, false};
-            changed = true;
+            hasChanged = true;
         }
     }
-    return changed;
+    return hasChanged;
 }
 
-std::size_t SlotOwner::Impl::excess(const std::vector<SlotState> &slots) const
+std::size_t SlotOwner::Impl::excessSlots(const std::vector<SlotState> &slots) const
 {
     const auto owned = static_cast<std::size_t>(
-        std::count_if(slots.begin(), slots.end(), [this](const SlotState &slot) { return mine(slot); }));
-    if (draining) {
+        std::count_if(slots.begin(), slots.end(), [this](const SlotState &slot) { return isOwnedBySelf(slot); }));
+    if (isDraining) {
         return owned;
     }
     const std::size_t share = fairShare(slotCount(), members.size());
-    const std::size_t tolerated = share + slots.size() / toleratedExcess;
+    const std::size_t tolerated = share + slots.size() / toleratedExcessDivisor;
     return owned > tolerated ? owned - share : 0;
 }
 
 /// Returns the live member with the fewest slots if it is below its share, or any if we are draining.
 std::string SlotOwner::Impl::chooseReceiver(const std::vector<SlotState> &slots) const
 {
-    std::string best;
-    std::size_t fewest = draining ? slots.size() + 1 : fairShare(slotCount(), members.size());
+    std::string bestReceiver;
+    std::size_t minOwned = isDraining ? slots.size() + 1 : fairShare(slotCount(), members.size());
     for (const auto &entry : holders) {
         const OwnerId &holder = entry.first;
-        const bool member = std::binary_search(members.begin(), members.end(), holder.name);
-        if (!member || holder.name == init.self || deafReceivers.contains(holder.name)) {
+        const bool isMember = std::binary_search(members.begin(), members.end(), holder.name);
+        if (!isMember || holder.name == init.self || excludedReceivers.contains(holder.name)) {
             continue;
         }
         const auto owned = static_cast<std::size_t>(
             std::count_if(slots.begin(), slots.end(), [&](const SlotState &slot) { return slot.owner == holder; }));
-        if (owned < fewest) {
-            fewest = owned;
-            best = holder.name;
+        if (owned < minOwned) {
+            minOwned = owned;
+            bestReceiver = holder.name;
         }
     }
-    return best;
+    return bestReceiver;
 }
 
-void SlotOwner::Impl::beginGiving(const std::vector<SlotState> &slots, Now now)
+void SlotOwner::Impl::beginTransfer(const std::vector<SlotState> &slots, Now now)
 {
-    const std::size_t count = std::min(excess(slots), batchSlots);
+    const std::size_t count = std::min(excessSlots(slots), maxSlotsPerTransfer);
     const std::string receiver = count == 0 || init.seen == nullptr || !init.send ? "" : chooseReceiver(slots);
     if (receiver.empty()) {
         return;
     }
-    giving.emplace(OwnerId{init.self, init.incarnation}, init.service, receiver);
-    std::vector<std::uint32_t> given;
-    for (std::size_t i = slots.size(); i-- > 0 && given.size() < count;) {
-        if (mine(slots[i])) {
-            given.push_back(static_cast<std::uint32_t>(i));
+    transfer.emplace(OwnerId{init.self, init.incarnation}, init.service, receiver);
+    std::vector<std::uint32_t> selected;
+    for (std::size_t i = slots.size(); i-- > 0 && selected.size() < count;) {
+        if (isOwnedBySelf(slots[i])) {
+            selected.push_back(static_cast<std::uint32_t>(i));
         }
     }
-    for (const auto slot : given) {
+    for (const auto slot : selected) {
         if (init.beforeGiving) {
             init.beforeGiving(slot);
         }
-        giving->add(slot, slots[slot].fence, slotCount(), *init.seen, now);
+        transfer->add(slot, slots[slot].fence, slotCount(), *init.seen, now);
     }
     resend(now);
 }
 
 void SlotOwner::Impl::resend(Now now)
 {
-    if (!giving || giving->acknowledged()) {
+    if (!transfer || transfer->isAcknowledged()) {
         return;
     }
-    if (!giving->sendAll(init.send)) {
-        giveUpReceiver(now);
+    if (!transfer->sendUnacknowledged(init.send)) {
+        abortTransfer(now);
         return;
     }
     init.timers->cancel(resendTimer);
-    resendTimer = init.timers->subscribe(now.mono + resendAfter, [this, now](TimePoint at) {
+    resendTimer = init.timers->subscribe(now.mono + resendInterval, [this, now](TimePoint at) {
         resendTimer = {};
-        resend(laterNow(now, at));
+        resend(advanceNow(now, at));
     });
 }
 
 /// Aborts the transfer. The slots stay refused until a write has renewed our ownership with a new fencing number.
-void SlotOwner::Impl::giveUpReceiver(Now now)
+void SlotOwner::Impl::abortTransfer(Now now)
 {
-    deafReceivers.insert(giving->receiver());
-    resuming = true;
-    planIn(soon, now);
+    excludedReceivers.insert(transfer->receiver());
+    isReclaiming = true;
+    schedulePlan(replanDelay, now);
 }
 
 void SlotOwner::Impl::plan(Now now)
 {
     if (!lease.mayAct(now.mono)) {
-        planIn(random.jitter(init.timing.heartbeat), now);
+        schedulePlan(random.jitter(init.timing.heartbeat), now);
         return;
     }
-    std::vector<SlotState> slots = expand(table, slotCount());
+    std::vector<SlotState> slots = expandSlots(table, slotCount());
     std::vector<KvCompare> compares;
-    if (giving && !resuming && giving->acknowledged(init.safeguards.keysBeforeTable)) {
-        if (moveGiven(slots, compares)) {
+    if (transfer && !isReclaiming && transfer->isAcknowledged(init.safeguards.keysBeforeTable)) {
+        if (completeTransfer(slots, compares)) {
             write(slots, std::move(compares));
             return;
         }
-        giveUpReceiver(now); // the receiver failed after it had acknowledged the keys
+        abortTransfer(now); // the receiver failed after it had acknowledged the keys
     }
-    if (reclaim(slots) || (!giving && claim(slots, compares, now))) {
+    if (reclaim(slots) || (!transfer && claim(slots, compares, now))) {
         write(slots, std::move(compares));
         return;
     }
-    if (!giving) {
-        beginGiving(slots, now);
-        if (!giving && draining && release(slots, now)) {
+    if (!transfer) {
+        beginTransfer(slots, now);
+        if (!transfer && isDraining && release(slots, now)) {
             write(slots, {});
             return;
         }
     }
     if (!planTimer) {
-        planIn(random.jitter(draining || orphansSince ? init.timing.lease / 4 : init.timing.lease), now);
+        schedulePlan(random.jitter(isDraining || unclaimedSince ? init.timing.lease / 4 : init.timing.lease), now);
     }
 }
 
 void SlotOwner::Impl::write(const std::vector<SlotState> &slots, std::vector<KvCompare> compares)
 {
-    written = compress(init.service, table.table_revision() + 1, slots);
+    pendingTable = compressSlots(init.service, table.table_revision() + 1, slots);
     step = Step::Writing;
     KvRequest request;
     request.id = ids.next();
     request.op = KvOp::Txn;
     request.compares = std::move(compares);
-    request.compares.push_back({tableKey, tableMod});
-    request.puts.push_back({tableKey, written.SerializeAsString()});
+    request.compares.push_back({tableKey, tableModRevision});
+    request.puts.push_back({tableKey, pendingTable.SerializeAsString()});
     pending = request.id;
     submit(std::move(request));
 }
--- a/src/state/slot_table.cpp
+++ b/src/state/slot_table.cpp
@@ -6,24 +6,24 @@
 namespace anvilscale {
 namespace {
 
-SlotState stateOf(const config::SlotRange &range)
+SlotState slotStateOf(const config::SlotRange &range)
 {
     SlotState state;
     state.owner = {range.owner(), range.owner_incarnation()};
     state.fence = range.fence();
     state.lease = range.lease();
-    state.taken = WallTime{static_cast<std::int64_t>(range.taken_wall_ms())};
-    state.handedOver = range.handed_over();
+    state.takenOverAt = WallTime{static_cast<std::int64_t>(range.taken_wall_ms())};
+    state.wasHandedOver = range.handed_over();
     return state;
 }
 
 } // namespace
 
-std::vector<SlotState> expand(const config::SlotTable &table, std::uint32_t slots)
+std::vector<SlotState> expandSlots(const config::SlotTable &table, std::uint32_t slots)
 {
     std::vector<SlotState> all(slots);
     for (const auto &range : table.ranges()) {
-        const SlotState state = stateOf(range);
+        const SlotState state = slotStateOf(range);
         for (std::uint64_t i = range.first(); i < std::uint64_t(range.first()) + range.count() && i < slots; ++i) {
             all[i] = state;
         }
@@ -31,7 +31,8 @@
     return all;
 }
 
-config::SlotTable compress(const std::string &service, std::uint64_t tableRevision, const std::vector<SlotState> &slots)
+config::SlotTable compressSlots(const std::string &service, std::uint64_t tableRevision,
+                                const std::vector<SlotState> &slots)
 {
     config::SlotTable table;
     table.set_service(service);
@@ -49,13 +50,13 @@
         range.set_owner_incarnation(slots[i].owner.incarnation);
         range.set_fence(slots[i].fence);
         range.set_lease(slots[i].lease);
-        range.set_taken_wall_ms(static_cast<std::uint64_t>(slots[i].taken.ms));
-        range.set_handed_over(slots[i].handedOver);
+        range.set_taken_wall_ms(static_cast<std::uint64_t>(slots[i].takenOverAt.ms));
+        range.set_handed_over(slots[i].wasHandedOver);
     }
     return table;
 }
 
-const config::SlotRange *rangeOf(const config::SlotTable &table, std::uint32_t slot)
+const config::SlotRange *findRange(const config::SlotTable &table, std::uint32_t slot)
 {
     const auto &ranges = table.ranges();
     const auto after = std::upper_bound(ranges.begin(), ranges.end(), slot,
@@ -69,11 +70,11 @@
 
 std::uint64_t nextFence(const std::vector<SlotState> &slots)
 {
-    std::uint64_t largest = 0;
+    std::uint64_t maxFence = 0;
     for (const auto &slot : slots) {
-        largest = std::max(largest, slot.fence);
+        maxFence = std::max(maxFence, slot.fence);
     }
-    return largest + 1;
+    return maxFence + 1;
 }
 
 std::uint32_t fairShare(std::uint32_t slots, std::size_t members)
--- a/src/state/slot_table.h
+++ b/src/state/slot_table.h
@@ -27,16 +27,16 @@
     OwnerId owner; ///< empty name if unowned
     std::uint64_t fence = 0;
     std::uint64_t lease = 0; ///< modification revision of the owner's lease key
-    WallTime taken;
-    bool handedOver = false;
+    WallTime takenOverAt;
+    bool wasHandedOver = false;
     bool operator==(const SlotState &) const = default;
 };
 
-std::vector<SlotState> expand(const config::SlotTable &table, std::uint32_t slots);
-config::SlotTable compress(const std::string &service, std::uint64_t tableRevision,
-                           const std::vector<SlotState> &slots);
+std::vector<SlotState> expandSlots(const config::SlotTable &table, std::uint32_t slots);
+config::SlotTable compressSlots(const std::string &service, std::uint64_t tableRevision,
+                                const std::vector<SlotState> &slots);
 /// Returns the range that contains the slot, or nullptr.
-const config::SlotRange *rangeOf(const config::SlotTable &table, std::uint32_t slot);
+const config::SlotRange *findRange(const config::SlotTable &table, std::uint32_t slot);
 /// Returns a fencing number above all in the table. Invariant: a table's largest fence never decreases.
 std::uint64_t nextFence(const std::vector<SlotState> &slots);
 /// Number of slots per member, rounded up.
--- a/tests/unit/state_config_test.cpp
+++ b/tests/unit/state_config_test.cpp
@@ -57,7 +57,7 @@
     return change ? ConfigError{ConfigErrorKind::Count, "", "", 0} : change.error();
 }
 
-TEST(ConfigStore, BothSchemaVersionsServeSideBySide)
+TEST(ConfigStore, ServesBothSchemaVersions)
 {
     ConfigStore store;
     const auto first = store.apply(
@@ -74,7 +74,7 @@
     EXPECT_EQ(store.adapterCount(), 1U);
 }
 
-TEST(ParseRecord, TypedErrorsNameTheField)
+TEST(ParseRecord, ReportsTypedErrorWithField)
 {
     const std::string head = R"({"schemaVersion":2,"name":"x",)";
     const auto unknown = errorOf(head + R"("adapter":{"baseModel":"m","versions":[{"name":"v","bogus":1}]}})");
@@ -91,7 +91,7 @@
 }
 
 // A margin below twice the skew would let a new owner run a key again that the paused previous owner still runs.
-TEST(ParseRecord, WindowSkewAndMarginAreCheckedTogether)
+TEST(ParseRecord, ValidatesWindowSkewAndMargin)
 {
     const auto service = [](const std::string &fields) {
         return R"({"schemaVersion":2,"name":"admission","service":{)" + fields + "}}";
@@ -103,36 +103,36 @@
     EXPECT_TRUE(parseRecord(service(R"("idempotent":true,"skewMs":5000,"marginMs":1)")));
 }
 
-TEST(ConfigStore, RefusedDeltaChangesNothing)
+TEST(ConfigStore, RejectedDeltaChangesNothing)
 {
     ConfigStore store;
     ASSERT_TRUE(store.apply(deltaOf(1, {parsed(adapterJson("a", R"("v1","v2")")), parsed(routeJson("r", "a", "v1"))})));
     const auto digest = store.digest();
-    const auto refusedWith = [&](const config::Delta &delta) {
+    const auto errorOfApply = [&](const config::Delta &delta) {
         const auto applied = store.apply(delta);
         EXPECT_FALSE(applied);
         EXPECT_EQ(store.revision(), 1U);
         EXPECT_EQ(store.digest(), digest);
         return applied ? ConfigErrorKind::Count : applied.error().kind;
     };
-    EXPECT_EQ(refusedWith(deltaOf(3, {})), ConfigErrorKind::NotNext);
-    EXPECT_EQ(refusedWith(deltaOf(1, {})), ConfigErrorKind::NotNext);
+    EXPECT_EQ(errorOfApply(deltaOf(3, {})), ConfigErrorKind::NotNext);
+    EXPECT_EQ(errorOfApply(deltaOf(1, {})), ConfigErrorKind::NotNext);
     const auto good = parsed(adapterJson("b", R"("v1")"));
-    EXPECT_EQ(refusedWith(deltaOf(2, {good, parsed(routeJson("r2", "c", "v1"))})), ConfigErrorKind::UnknownReference);
-    EXPECT_EQ(refusedWith(deltaOf(2, {good, removal("adapter", "a")})), ConfigErrorKind::UnknownReference);
-    EXPECT_EQ(refusedWith(deltaOf(2, {parsed(adapterJson("a", R"("v2")"))})), ConfigErrorKind::UnknownReference);
+    EXPECT_EQ(errorOfApply(deltaOf(2, {good, parsed(routeJson("r2", "c", "v1"))})), ConfigErrorKind::UnknownReference);
+    EXPECT_EQ(errorOfApply(deltaOf(2, {good, removal("adapter", "a")})), ConfigErrorKind::UnknownReference);
+    EXPECT_EQ(errorOfApply(deltaOf(2, {parsed(adapterJson("a", R"("v2")"))})), ConfigErrorKind::UnknownReference);
     config::Change newer = good;
     newer.set_json(R"({"schemaVersion":3,"name":"b"})");
-    EXPECT_EQ(refusedWith(deltaOf(2, {good, newer})), ConfigErrorKind::UnknownSchemaVersion);
+    EXPECT_EQ(errorOfApply(deltaOf(2, {good, newer})), ConfigErrorKind::UnknownSchemaVersion);
     config::Delta wrong = deltaOf(2, {good});
     wrong.set_digest(1);
-    EXPECT_EQ(refusedWith(wrong), ConfigErrorKind::DigestMismatch);
+    EXPECT_EQ(errorOfApply(wrong), ConfigErrorKind::DigestMismatch);
     EXPECT_TRUE(store.apply(deltaOf(2, {removal("route", "r"), removal("adapter", "a")})));
     EXPECT_EQ(store.digest(), 0U);
 }
 
 // A changed slot count would move keys to owners that have not seen them and would run them again.
-TEST(ConfigStore, SlotsOfANonIdempotentServiceStay)
+TEST(ConfigStore, RejectsSlotCountChangeOfNonIdempotentService)
 {
     ConfigStore store;
     ASSERT_TRUE(store.apply(deltaOf(1, {parsed(R"({"schemaVersion":1,"kind":"service","name":"admission"})")})));
@@ -144,18 +144,18 @@
 
 // Compares the store with a plain map of texts under random puts and removals, also after snapshots and pushes to a
 // second store.
-RC_GTEST_PROP(ConfigStore, AgreesWithAPlainMapAndReachesPeers, ())
+RC_GTEST_PROP(ConfigStore, MatchesPlainMapAndReachesPeers, ())
 {
     ConfigStore store;
-    ConfigStore follower;
-    std::map<std::string, std::string> plain;
+    ConfigStore peerStore;
+    std::map<std::string, std::string> expected;
     const auto steps = *rc::gen::inRange(1, 60);
     for (int step = 0; step < steps; ++step) {
         const std::string name = "adapter-" + std::to_string(*rc::gen::inRange(0, 12));
         config::Delta delta = deltaOf(store.revision() + 1, {});
         if (*rc::gen::inRange(0, 4) == 0) {
             *delta.add_changes() = removal("adapter", name);
-            plain.erase(name);
+            expected.erase(name);
         } else {
             const bool canonical = *rc::gen::arbitrary<bool>();
             const std::string version = "v" + std::to_string(*rc::gen::inRange(0, 3));
@@ -163,25 +163,25 @@
             if (!canonical) {
                 change.set_json(" " + change.json());
             }
-            plain[name] = change.json();
+            expected[name] = change.json();
             *delta.add_changes() = change;
         }
         RC_ASSERT(store.apply(delta).has_value());
         if (*rc::gen::arbitrary<bool>()) {
-            const auto push = store.pushSince(follower.revision());
+            const auto push = store.pushSince(peerStore.revision());
             for (const auto &bytes : push.deltas()) {
                 config::Delta copy;
                 copy.ParseFromString(bytes);
-                RC_ASSERT(follower.apply(copy).has_value());
+                RC_ASSERT(peerStore.apply(copy).has_value());
             }
-            RC_ASSERT(follower.digest() == store.digest());
+            RC_ASSERT(peerStore.digest() == store.digest());
         }
     }
-    std::map<std::string, std::string> found;
+    std::map<std::string, std::string> actual;
     for (const auto &record : store.records()) {
-        found[record.name()] = record.json();
+        actual[record.name()] = record.json();
     }
-    RC_ASSERT(found == plain);
+    RC_ASSERT(actual == expected);
     ConfigStore fresh;
     RC_ASSERT(fresh.restore(store.snapshot(300)).has_value());
     RC_ASSERT(fresh.digest() == store.digest());
--- a/tests/unit/state_keys_test.cpp
+++ b/tests/unit/state_keys_test.cpp
@@ -25,16 +25,16 @@
     return makeKey(WallTime{start + ms}, random);
 }
 
-struct Keys
+struct KeyTable
 {
     SeenKeys seen{SeenKeys::Limits{4, 1000}};
     ServiceView service;
-    WallTime takenAt{0};
-    std::uint64_t last = 0;
+    WallTime minKeyTime{0};
+    std::uint64_t lastExecution = 0;
 
     KeyDecision admit(const std::string &key, Now now, std::uint64_t fingerprint = sameRequest)
     {
-        return seen.admit(key, fingerprint, service, takenAt, ExecutionHandle{++last}, now);
+        return seen.admit(key, fingerprint, service, minKeyTime, ExecutionHandle{++lastExecution}, now);
     }
 };
 
@@ -47,7 +47,7 @@
     return answer;
 }
 
-RC_GTEST_PROP(Key, CarriesItsTime, ())
+RC_GTEST_PROP(Key, RoundTripsTimestamp, ())
 {
     const WallTime time{*rc::gen::inRange<std::int64_t>(0, std::int64_t(1) << 48)};
     Random random(*rc::gen::arbitrary<std::uint64_t>());
@@ -64,7 +64,7 @@
 
 TEST(SeenKeys, RepeatAttachesThenReplays)
 {
-    Keys keys;
+    KeyTable keys;
     const auto key = keyAt(0);
     EXPECT_EQ(keys.admit(key, at(0)).kind, KeyDecisionKind::Run);
     EXPECT_EQ(keys.admit(key, at(1)).execution, ExecutionHandle{1});
@@ -75,9 +75,9 @@
     EXPECT_EQ(again.answer->body, "admitted");
 }
 
-TEST(SeenKeys, ReleasedKeyRunsAnew)
+TEST(SeenKeys, ReleasedKeyRunsAgain)
 {
-    Keys keys;
+    KeyTable keys;
     const auto key = keyAt(0);
     keys.admit(key, at(0));
     keys.seen.release(key);
@@ -85,9 +85,9 @@
 }
 
 // A full table that evicted a key within its window would run that key's repeat a second time.
-TEST(SeenKeys, FullTableRefusesAndForgetsNothingEarly)
+TEST(SeenKeys, FullTableRefusesInsteadOfEvicting)
 {
-    Keys keys;
+    KeyTable keys;
     std::vector<std::string> first;
     for (int i = 0; i < 4; ++i) {
         first.push_back(keyAt(i));
@@ -98,7 +98,7 @@
     EXPECT_EQ(refused.reason, RefusalReason::KeyTableFull);
     EXPECT_TRUE(refused.provedNotRun);
     EXPECT_LE(keys.seen.answerBytes(), 1000U);
-    EXPECT_EQ(keys.admit(first[0], at(6)).kind, KeyDecisionKind::Refuse) << "its answer had to make room";
+    EXPECT_EQ(keys.admit(first[0], at(6)).kind, KeyDecisionKind::Refuse) << "its answer was dropped to free memory";
     EXPECT_FALSE(keys.admit(first[0], at(6)).provedNotRun);
     EXPECT_EQ(keys.admit(first[3], at(6)).kind, KeyDecisionKind::Replay);
     const auto later = std::chrono::duration_cast<Milliseconds>(keys.service.window).count() + 10;
@@ -107,10 +107,10 @@
     EXPECT_EQ(keys.admit(first[3], at(later)).reason, RefusalReason::KeyTooOld);
 }
 
-TEST(SeenKeys, KeysOutOfTheWindowOrOfTheOwnersTimeAreRefused)
+TEST(SeenKeys, RefusesKeysOutsideWindowOrOwnershipTime)
 {
-    Keys keys;
-    keys.takenAt = WallTime{start + 5000};
+    KeyTable keys;
+    keys.minKeyTime = WallTime{start + 5000};
     const auto early = keys.admit(keyAt(4999), at(6000));
     EXPECT_EQ(early.reason, RefusalReason::KeyTooOld);
     EXPECT_FALSE(early.provedNotRun);
@@ -123,9 +123,9 @@
 }
 
 // A removed key must not become valid again when the wall clock is set back or the window is lengthened.
-TEST(SeenKeys, ForgottenKeyStaysForgottenWhenTheClockOrTheWindowChanges)
+TEST(SeenKeys, RemovedKeyStaysRemovedAfterClockOrWindowChange)
 {
-    Keys keys;
+    KeyTable keys;
     keys.service.window = Seconds(60);
     const auto key = keyAt(0);
     keys.admit(key, at(0));
@@ -142,7 +142,7 @@
 }
 
 // Under random repeats, completions, releases, handovers and passing time, no key runs twice unless it was released.
-RC_GTEST_PROP(SeenKeys, NoKeyRunsTwiceOverHandOvers, ())
+RC_GTEST_PROP(SeenKeys, NoKeyRunsTwiceAcrossHandovers, ())
 {
     std::array<SeenKeys, 2> owners{SeenKeys(SeenKeys::Limits{1000, 2000}), SeenKeys(SeenKeys::Limits{1000, 2000})};
     std::size_t owner = 0;
@@ -152,7 +152,7 @@
     std::set<std::string> running;
     std::set<std::string> ran;
     std::int64_t now = 0;
-    std::uint64_t last = 0;
+    std::uint64_t lastExecution = 0;
     Random random(*rc::gen::arbitrary<std::uint64_t>());
     const int steps = *rc::gen::inRange(10, 200);
     for (int step = 0; step < steps; ++step) {
@@ -161,20 +161,20 @@
             keys.push_back(makeKey(WallTime{start + now - *rc::gen::inRange(0, 70'000)}, random));
         }
         const std::string key = keys[*rc::gen::inRange<std::size_t>(0, keys.size())];
-        const int what = *rc::gen::inRange(0, 6);
-        if (what < 3) {
+        const int action = *rc::gen::inRange(0, 6);
+        if (action < 3) {
             const auto decision =
-                owners[owner].admit(key, sameRequest, service, WallTime{0}, ExecutionHandle{++last}, at(now));
+                owners[owner].admit(key, sameRequest, service, WallTime{0}, ExecutionHandle{++lastExecution}, at(now));
             if (decision.kind == KeyDecisionKind::Run) {
                 RC_ASSERT(ran.insert(key).second);
                 running.insert(key);
             }
-        } else if (what == 3 && running.erase(key) != 0) {
+        } else if (action == 3 && running.erase(key) != 0) {
             owners[owner].finish(key, answerOf("done"), at(now));
-        } else if (what == 4 && running.erase(key) != 0) {
+        } else if (action == 4 && running.erase(key) != 0) {
             owners[owner].release(key);
             ran.erase(key);
-        } else if (what == 5) {
+        } else if (action == 5) {
             wire::SlotHandover part;
             owners[owner].exportSlot(0, 1, at(now), part);
             owner = 1 - owner;
--- a/tests/unit/state_membership_test.cpp
+++ b/tests/unit/state_membership_test.cpp
@@ -8,7 +8,7 @@
 namespace anvilscale {
 namespace {
 
-struct Watched
+struct MembershipFixture
 {
     TimerService timers;
     std::vector<std::string> changes;
@@ -21,27 +21,27 @@
     {
         return Now{time, WallTime{0}};
     }
-    void run(Duration span, bool beating = false)
+    void run(Duration span, bool withHeartbeats = false)
     {
         const TimePoint end = time + span;
         while (time < end) {
             time += Milliseconds(250);
             timers.advance(time);
-            if (beating) {
-                beat(1);
+            if (withHeartbeats) {
+                heartbeat(1);
             }
         }
     }
-    void beat(std::uint64_t incarnation, bool leaving = false, std::uint32_t schemaVersion = 2)
+    void heartbeat(std::uint64_t incarnation, bool leaving = false, std::uint32_t schemaVersion = 2)
     {
-        wire::Heartbeat heartbeat;
-        heartbeat.mutable_from()->set_name("s1");
-        heartbeat.mutable_from()->set_incarnation(incarnation);
-        heartbeat.set_leaving(leaving);
-        heartbeat.set_schema_version(schemaVersion);
-        membership.onHeartbeat(heartbeat, now());
+        wire::Heartbeat message;
+        message.mutable_from()->set_name("s1");
+        message.mutable_from()->set_incarnation(incarnation);
+        message.set_leaving(leaving);
+        message.set_schema_version(schemaVersion);
+        membership.onHeartbeat(message, now());
     }
-    void list(VmState state)
+    void listVm(VmState state)
     {
         membership.onVmList({VmInfo{"s1", VmRole::Sidecar, state, "hall-east", "ub", "127.0.0.1:1"}}, now());
     }
@@ -54,159 +54,159 @@
 
 wire::Beat beatOf(std::uint64_t incarnation)
 {
-    wire::Beat beat;
-    beat.set_incarnation_tag(static_cast<std::uint32_t>(incarnation));
-    return beat;
+    wire::Beat message;
+    message.set_incarnation_tag(static_cast<std::uint32_t>(incarnation));
+    return message;
 }
 
 // A short beat must keep only the incarnation of the last full heartbeat alive and must not revive any other.
-TEST(Membership, BeatSpeaksOnlyForTheStartThatWasHeard)
+TEST(Membership, BeatCountsOnlyForIncarnationOfLastHeartbeat)
 {
-    Watched watched;
-    watched.list(VmState::Live);
-    watched.membership.onBeat("s1", beatOf(1), watched.now());
-    EXPECT_EQ(watched.state(), MemberState::Suspect) << "never heard by a heartbeat";
-    watched.beat(1);
-    EXPECT_EQ(watched.state(), MemberState::Live);
+    MembershipFixture fixture;
+    fixture.listVm(VmState::Live);
+    fixture.membership.onBeat("s1", beatOf(1), fixture.now());
+    EXPECT_EQ(fixture.state(), MemberState::Suspect) << "no heartbeat received yet";
+    fixture.heartbeat(1);
+    EXPECT_EQ(fixture.state(), MemberState::Live);
     for (int i = 0; i < 20; ++i) {
-        watched.run(Milliseconds(500));
-        watched.membership.onBeat("s1", beatOf(1), watched.now());
-        EXPECT_EQ(watched.state(), MemberState::Live);
+        fixture.run(Milliseconds(500));
+        fixture.membership.onBeat("s1", beatOf(1), fixture.now());
+        EXPECT_EQ(fixture.state(), MemberState::Live);
     }
     for (int i = 0; i < 8; ++i) {
-        watched.run(Milliseconds(500));
-        watched.membership.onBeat("s1", beatOf(2), watched.now());
+        fixture.run(Milliseconds(500));
+        fixture.membership.onBeat("s1", beatOf(2), fixture.now());
     }
-    EXPECT_EQ(watched.state(), MemberState::Suspect);
-    watched.beat(1, true);
-    EXPECT_EQ(watched.state(), MemberState::Leaving);
-    watched.membership.onBeat("s1", beatOf(1), watched.now());
-    EXPECT_EQ(watched.state(), MemberState::Leaving);
+    EXPECT_EQ(fixture.state(), MemberState::Suspect);
+    fixture.heartbeat(1, true);
+    EXPECT_EQ(fixture.state(), MemberState::Leaving);
+    fixture.membership.onBeat("s1", beatOf(1), fixture.now());
+    EXPECT_EQ(fixture.state(), MemberState::Leaving);
 }
 
-TEST(Membership, HeartbeatMakesLiveAndSilenceSuspect)
+TEST(Membership, HeartbeatMakesLiveAndTimeoutMakesSuspect)
 {
-    Watched watched;
-    watched.list(VmState::Live);
-    EXPECT_EQ(watched.state(), MemberState::Suspect) << "listed, but never heard";
-    watched.beat(1);
-    EXPECT_EQ(watched.state(), MemberState::Live);
-    watched.run(Seconds(4));
-    EXPECT_EQ(watched.state(), MemberState::Suspect);
-    watched.beat(1);
-    EXPECT_EQ(watched.state(), MemberState::Live);
+    MembershipFixture fixture;
+    fixture.listVm(VmState::Live);
+    EXPECT_EQ(fixture.state(), MemberState::Suspect) << "listed, but no heartbeat received";
+    fixture.heartbeat(1);
+    EXPECT_EQ(fixture.state(), MemberState::Live);
+    fixture.run(Seconds(4));
+    EXPECT_EQ(fixture.state(), MemberState::Suspect);
+    fixture.heartbeat(1);
+    EXPECT_EQ(fixture.state(), MemberState::Live);
 }
 
 // Guards against new work for a leaving process: neither a late heartbeat nor a lagging list may revive its
 // incarnation.
-TEST(Membership, LeavingIsFinalForTheIncarnation)
+TEST(Membership, LeavingIsFinalForIncarnation)
 {
-    Watched watched;
-    watched.list(VmState::Live);
-    watched.beat(1);
-    watched.beat(1, true);
-    EXPECT_EQ(watched.state(), MemberState::Leaving);
-    watched.beat(1);
-    watched.list(VmState::Live);
-    EXPECT_EQ(watched.state(), MemberState::Leaving);
-    watched.beat(2);
-    EXPECT_EQ(watched.state(), MemberState::Live);
-    watched.beat(1, true);
-    EXPECT_EQ(watched.state(), MemberState::Live) << "a late message of the earlier start";
-    watched.list(VmState::Live);
-    watched.list(VmState::Leaving);
-    EXPECT_EQ(watched.state(), MemberState::Leaving);
-    watched.beat(2);
-    EXPECT_EQ(watched.state(), MemberState::Leaving);
+    MembershipFixture fixture;
+    fixture.listVm(VmState::Live);
+    fixture.heartbeat(1);
+    fixture.heartbeat(1, true);
+    EXPECT_EQ(fixture.state(), MemberState::Leaving);
+    fixture.heartbeat(1);
+    fixture.listVm(VmState::Live);
+    EXPECT_EQ(fixture.state(), MemberState::Leaving);
+    fixture.heartbeat(2);
+    EXPECT_EQ(fixture.state(), MemberState::Live);
+    fixture.heartbeat(1, true);
+    EXPECT_EQ(fixture.state(), MemberState::Live) << "late message of an earlier incarnation";
+    fixture.listVm(VmState::Live);
+    fixture.listVm(VmState::Leaving);
+    EXPECT_EQ(fixture.state(), MemberState::Leaving);
+    fixture.heartbeat(2);
+    EXPECT_EQ(fixture.state(), MemberState::Leaving);
 }
 
 // A lagging "leaving" entry of a replaced VM must not retire its successor, but the successor gets no new work while it
 // is listed.
-TEST(Membership, ListThatLagsDoesNotRetireTheSuccessor)
+TEST(Membership, LaggingListDoesNotRetireSuccessor)
 {
-    Watched watched;
-    watched.list(VmState::Live);
-    watched.beat(1);
-    watched.list(VmState::Live);
-    watched.list(VmState::Leaving);
-    EXPECT_EQ(watched.state(), MemberState::Leaving);
-    watched.beat(2);
-    watched.list(VmState::Leaving);
-    watched.beat(2);
-    EXPECT_EQ(watched.state(), MemberState::Suspect) << "no new work while the list says so";
-    watched.list(VmState::Live);
-    watched.beat(2);
-    EXPECT_EQ(watched.state(), MemberState::Live);
-    watched.beat(1);
-    EXPECT_EQ(watched.membership.find("s1")->incarnation, 2U);
-    watched.list(VmState::Leaving);
-    watched.beat(2);
-    EXPECT_EQ(watched.state(), MemberState::Leaving) << "now it is said of the successor";
+    MembershipFixture fixture;
+    fixture.listVm(VmState::Live);
+    fixture.heartbeat(1);
+    fixture.listVm(VmState::Live);
+    fixture.listVm(VmState::Leaving);
+    EXPECT_EQ(fixture.state(), MemberState::Leaving);
+    fixture.heartbeat(2);
+    fixture.listVm(VmState::Leaving);
+    fixture.heartbeat(2);
+    EXPECT_EQ(fixture.state(), MemberState::Suspect) << "no new work while listed as leaving";
+    fixture.listVm(VmState::Live);
+    fixture.heartbeat(2);
+    EXPECT_EQ(fixture.state(), MemberState::Live);
+    fixture.heartbeat(1);
+    EXPECT_EQ(fixture.membership.find("s1")->incarnation, 2U);
+    fixture.listVm(VmState::Leaving);
+    fixture.heartbeat(2);
+    EXPECT_EQ(fixture.state(), MemberState::Leaving) << "now the list refers to the successor";
 }
 
-TEST(Membership, DrainOrderCountsForItsIncarnationOnly)
+TEST(Membership, DrainOrderAppliesOnlyToItsIncarnation)
 {
-    Watched watched;
-    watched.beat(5);
+    MembershipFixture fixture;
+    fixture.heartbeat(5);
     wire::DrainOrder order;
     order.mutable_target()->set_name("s1");
     order.mutable_target()->set_incarnation(4);
-    watched.membership.onDrain(order, watched.now());
-    EXPECT_EQ(watched.state(), MemberState::Live);
+    fixture.membership.onDrain(order, fixture.now());
+    EXPECT_EQ(fixture.state(), MemberState::Live);
     order.mutable_target()->set_incarnation(5);
-    watched.membership.onDrain(order, watched.now());
-    watched.membership.onDrain(order, watched.now());
-    EXPECT_EQ(watched.state(), MemberState::Leaving);
-    watched.beat(5);
-    EXPECT_EQ(watched.state(), MemberState::Leaving);
+    fixture.membership.onDrain(order, fixture.now());
+    fixture.membership.onDrain(order, fixture.now());
+    EXPECT_EQ(fixture.state(), MemberState::Leaving);
+    fixture.heartbeat(5);
+    EXPECT_EQ(fixture.state(), MemberState::Leaving);
 }
 
 // A member whose heartbeats arrive just at the suspect time must not flap, since each state change moves calls.
-TEST(Membership, SuspicionDoesNotFlap)
+TEST(Membership, SuspectedMemberDoesNotFlap)
 {
-    Watched watched;
-    watched.beat(1);
+    MembershipFixture fixture;
+    fixture.heartbeat(1);
     for (int i = 0; i < 40; ++i) {
-        watched.run(Milliseconds(3500));
-        watched.beat(1);
+        fixture.run(Milliseconds(3500));
+        fixture.heartbeat(1);
     }
-    EXPECT_LT(watched.changes.size(), 16U);
-    watched.run(Seconds(10), true);
-    EXPECT_EQ(watched.state(), MemberState::Live);
+    EXPECT_LT(fixture.changes.size(), 16U);
+    fixture.run(Seconds(10), true);
+    EXPECT_EQ(fixture.state(), MemberState::Live);
 }
 
 // A paused process must not suspect others for heartbeats that it has not yet read.
-TEST(Membership, PausedProcessSuspectsNobodyOnWaking)
+TEST(Membership, PausedProcessSuspectsNoMemberOnResume)
 {
-    Watched watched;
-    watched.beat(1);
-    watched.run(Seconds(2), true);
-    watched.time += Seconds(60);
-    watched.timers.advance(watched.time);
-    EXPECT_EQ(watched.state(), MemberState::Live);
-    watched.run(Seconds(4));
-    EXPECT_EQ(watched.state(), MemberState::Suspect);
+    MembershipFixture fixture;
+    fixture.heartbeat(1);
+    fixture.run(Seconds(2), true);
+    fixture.time += Seconds(60);
+    fixture.timers.advance(fixture.time);
+    EXPECT_EQ(fixture.state(), MemberState::Live);
+    fixture.run(Seconds(4));
+    EXPECT_EQ(fixture.state(), MemberState::Suspect);
 }
 
-TEST(Membership, DroppedAndSilentIsForgotten)
+TEST(Membership, UnlistedSilentMemberIsRemoved)
 {
-    Watched watched;
-    watched.list(VmState::Live);
-    watched.beat(1);
-    watched.membership.onVmList({}, watched.now());
-    watched.run(Seconds(30));
-    EXPECT_EQ(watched.state(), MemberState::Count);
-    EXPECT_EQ(watched.changes.back(), "s1 gone");
+    MembershipFixture fixture;
+    fixture.listVm(VmState::Live);
+    fixture.heartbeat(1);
+    fixture.membership.onVmList({}, fixture.now());
+    fixture.run(Seconds(30));
+    EXPECT_EQ(fixture.state(), MemberState::Count);
+    EXPECT_EQ(fixture.changes.back(), "s1 gone");
 }
 
-TEST(Membership, SchemaVersionOfAllIsTheLowestOfTheLiving)
+TEST(Membership, SchemaVersionOfAllIsLowestOfLiveMembers)
 {
-    Watched watched;
-    EXPECT_EQ(watched.membership.schemaVersionOfAll(), 0U);
-    watched.beat(1, false, 1);
-    EXPECT_EQ(watched.membership.schemaVersionOfAll(), 1U);
-    watched.beat(1, true, 1);
-    EXPECT_EQ(watched.membership.schemaVersionOfAll(), 0U);
+    MembershipFixture fixture;
+    EXPECT_EQ(fixture.membership.schemaVersionOfAll(), 0U);
+    fixture.heartbeat(1, false, 1);
+    EXPECT_EQ(fixture.membership.schemaVersionOfAll(), 1U);
+    fixture.heartbeat(1, true, 1);
+    EXPECT_EQ(fixture.membership.schemaVersionOfAll(), 0U);
 }
 
 } // namespace
