--- a/tests/unit/state_slots_test.cpp
+++ b/tests/unit/state_slots_test.cpp
@@ -41,9 +41,9 @@
     Group &group;
     std::string name;
     SeenKeys seen{SeenKeys::Limits{}};
-    bool dead = false;
-    bool cut = false; // disconnected from the key-value service
-    std::vector<KvHandle> brokenWatches; // watches that lost an event while disconnected
+    bool isCrashed = false;
+    bool isDisconnected = false; // disconnected from the key-value service
+    std::vector<KvHandle> interruptedWatches; // watches that lost an event while disconnected
     std::unique_ptr<SlotOwner> owner;
 
     void onReply(KvReply reply, Now at);
@@ -56,21 +56,21 @@
     VirtualWorld world;
     std::unique_ptr<ConfigStore> config = makeConfig();
     std::map<std::string, std::unique_ptr<Sidecar>> sidecars;
-    std::vector<std::unique_ptr<Sidecar>> buried; // kept alive for replies still in flight
-    bool deaf = false; // drops all handover messages
+    std::vector<std::unique_ptr<Sidecar>> removedSidecars; // kept alive for replies still in flight
+    bool dropsHandovers = false; // drops all handover messages
 
     Sidecar &add(const std::string &name, std::uint64_t incarnation = 1)
     {
-        buried.push_back(std::move(sidecars[name]));
+        removedSidecars.push_back(std::move(sidecars[name]));
         sidecars[name] = std::make_unique<Sidecar>(*this, name, incarnation);
         sidecars[name]->owner->start(world.now());
         return *sidecars[name];
     }
-    void tellMembers()
+    void announceMembers()
     {
         std::vector<std::string> names;
         for (const auto &[name, sidecar] : sidecars) {
-            if (!sidecar->dead) {
+            if (!sidecar->isCrashed) {
                 names.push_back(name);
             }
         }
@@ -82,7 +82,7 @@
     {
         world.later(Milliseconds(1), [this, to, envelope](Now at) {
             const auto found = sidecars.find(to);
-            if (found == sidecars.end() || found->second->dead || deaf) {
+            if (found == sidecars.end() || found->second->isCrashed || dropsHandovers) {
                 return;
             }
             if (envelope.has_slot_handover()) {
@@ -114,9 +114,9 @@
     }
 };
 
-Sidecar::Sidecar(Group &in, std::string called, std::uint64_t incarnation)
+Sidecar::Sidecar(Group &in, std::string givenName, std::uint64_t incarnation)
     : group(in)
-    , name(std::move(called))
+    , name(std::move(givenName))
 {
     SlotOwner::Init init;
     init.service = "admission";
@@ -128,7 +128,7 @@
     init.seed = hash64(name) + incarnation;
     init.seen = &seen;
     init.send = [this](const std::string &to, const wire::Envelope &envelope) {
-        if (!dead) {
+        if (!isCrashed) {
             group.deliver(to, envelope);
         }
     };
@@ -139,27 +139,27 @@
 
 void Sidecar::onReply(KvReply reply, Now at)
 {
-    if (cut && reply.event) {
-        brokenWatches.push_back(reply.id);
+    if (isDisconnected && reply.event) {
+        interruptedWatches.push_back(reply.id);
         return;
     }
-    if (cut) {
+    if (isDisconnected) {
         const KvHandle id = reply.id;
         reply = KvReply();
         reply.id = id;
         reply.status = KvStatus::Unknown;
     }
-    if (!dead) {
+    if (!isCrashed) {
         owner->onReply(reply, at);
     }
 }
 
 void Sidecar::submit(const std::function<void(KvRequest)> &to, KvRequest request)
 {
-    if (dead) {
+    if (isCrashed) {
         return;
     }
-    if (cut) {
+    if (isDisconnected) {
         KvReply reply;
         reply.id = request.id;
         reply.status = KvStatus::Unavailable;
@@ -171,8 +171,8 @@
 
 void Sidecar::reconnect()
 {
-    cut = false;
-    for (const auto id : std::exchange(brokenWatches, {})) {
+    isDisconnected = false;
+    for (const auto id : std::exchange(interruptedWatches, {})) {
         KvReply reply;
         reply.id = id;
         reply.status = KvStatus::Unavailable;
@@ -180,13 +180,13 @@
     }
 }
 
-TEST(SlotOwner, SharesTheTableOutEvenly)
+TEST(SlotOwner, DividesSlotsEvenly)
 {
     Group group;
     for (const char *name : {"a", "b", "c"}) {
         group.add(name);
     }
-    group.tellMembers();
+    group.announceMembers();
     ASSERT_TRUE(group.world.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
     for (const auto &[name, sidecar] : group.sidecars) {
         EXPECT_NEAR(static_cast<double>(sidecar->owner->slots().size()), slotCount / 3.0, 2.0) << name;
@@ -195,35 +195,35 @@
 
 // After a crash the slots may be claimed only when the lease has expired, and keys that the previous owner may have
 // accepted are refused.
-TEST(SlotOwner, TakesOverOnlyAfterTheLeaseAndOnlyNewerKeys)
+TEST(SlotOwner, ClaimsOnlyAfterLeaseExpiryAndOnlyNewerKeys)
 {
     Group group;
     auto &a = group.add("a");
     group.add("b");
-    group.tellMembers();
+    group.announceMembers();
     ASSERT_TRUE(group.world.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
     const auto slot = a.owner->slots().front();
     const auto fence = a.owner->owns(slot, group.world.now()).fence;
-    a.dead = true;
-    group.tellMembers();
+    a.isCrashed = true;
+    group.announceMembers();
     group.world.run(Seconds(6));
     const auto before = group.sidecars["b"]->owner->owns(slot, group.world.now());
-    EXPECT_FALSE(before.owned) << "the lease of the dead one may still hold";
-    auto &heir = *group.sidecars["b"]->owner;
-    ASSERT_TRUE(group.world.runUntil(Seconds(60), [&] { return heir.slots().size() == slotCount; }));
-    const auto after = heir.owns(slot, group.world.now());
+    EXPECT_FALSE(before.owned) << "the lease of the crashed sidecar may still be valid";
+    auto &successor = *group.sidecars["b"]->owner;
+    ASSERT_TRUE(group.world.runUntil(Seconds(60), [&] { return successor.slots().size() == slotCount; }));
+    const auto after = successor.owns(slot, group.world.now());
     EXPECT_TRUE(after.owned);
     EXPECT_GT(after.fence, fence);
     EXPECT_NEAR(static_cast<double>(after.takenAt.ms), static_cast<double>(group.world.now().wall.ms + marginMs), 20.0);
 }
 
 // A drain must transfer the keys before the table names the new owner, so that a repeat gets the first answer.
-TEST(SlotOwner, DrainHandsTheKeysOverAndNoWindowIsRefused)
+TEST(SlotOwner, DrainTransfersKeysWithoutRefusedWindow)
 {
     Group group;
     auto &a = group.add("a");
     auto &b = group.add("b");
-    group.tellMembers();
+    group.announceMembers();
     ASSERT_TRUE(group.world.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
     const auto service = *group.config->service("admission");
     Random random(5);
@@ -233,8 +233,9 @@
         key = makeKey(group.world.now().wall, random);
     } while (!a.owner->owns(slotOf(key, slotCount), group.world.now()).owned);
     const auto slot = slotOf(key, slotCount);
-    const auto taken = a.owner->owns(slot, group.world.now()).takenAt;
-    ASSERT_EQ(a.seen.admit(key, 1, service, taken, ExecutionHandle{1}, group.world.now()).kind, KeyDecisionKind::Run);
+    const auto minKeyTime = a.owner->owns(slot, group.world.now()).takenAt;
+    ASSERT_EQ(a.seen.admit(key, 1, service, minKeyTime, ExecutionHandle{1}, group.world.now()).kind,
+              KeyDecisionKind::Run);
     KeptAnswer answer;
     answer.outcome = CallOutcome::Complete;
     answer.body = "admitted";
@@ -244,33 +245,33 @@
     group.world.run(Milliseconds(100));
     EXPECT_TRUE(group.allOwnedOnce());
     const auto owned = b.owner->owns(slot, group.world.now());
-    EXPECT_EQ(owned.takenAt, taken) << "the window stays whole";
+    EXPECT_EQ(owned.takenAt, minKeyTime) << "the key window is preserved";
     const auto repeat = b.seen.admit(key, 1, service, owned.takenAt, ExecutionHandle{2}, group.world.now());
     ASSERT_EQ(repeat.kind, KeyDecisionKind::Replay);
     EXPECT_EQ(repeat.answer->body, "admitted");
 }
 
-TEST(SlotOwner, DrainWithDeafReceiversFreesTheSlots)
+TEST(SlotOwner, DrainWithoutAcknowledgementsFreesSlots)
 {
     Group group;
     auto &a = group.add("a");
     group.add("b");
-    group.tellMembers();
+    group.announceMembers();
     ASSERT_TRUE(group.world.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
-    group.deaf = true;
+    group.dropsHandovers = true;
     a.owner->drain(group.world.now());
-    a.dead = false;
+    a.isCrashed = false;
     EXPECT_TRUE(group.world.runUntil(Seconds(20), [&] { return a.owner->drained(); }));
 }
 
-TEST(SlotOwner, NewMemberGetsItsShareByHandOver)
+TEST(SlotOwner, NewMemberReceivesShareByHandover)
 {
     Group group;
     auto &a = group.add("a");
-    group.tellMembers();
+    group.announceMembers();
     ASSERT_TRUE(group.world.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
     auto &b = group.add("b");
-    group.tellMembers();
+    group.announceMembers();
     EXPECT_TRUE(group.world.runUntil(Seconds(40), [&] {
         return a.owner->slots().size() <= slotCount / 2 + 2 && b.owner->slots().size() >= slotCount / 2 - 2;
     }));
@@ -279,7 +280,7 @@
 
 // Guards against a key that runs twice after a takeover, and against two owners of a slot, under lost requests, lost
 // replies, outages, crashes and restarts.
-RC_GTEST_PROP(SlotOwner, NoKeyIsAdmittedTwiceWhateverFails, ())
+RC_GTEST_PROP(SlotOwner, NoKeyIsAdmittedTwiceUnderFaults, ())
 {
     Group group;
     Random random(*rc::gen::arbitrary<std::uint64_t>());
@@ -293,7 +294,7 @@
     for (const char *name : {"a", "b", "c"}) {
         group.add(name);
     }
-    group.tellMembers();
+    group.announceMembers();
     group.world.run(Seconds(15));
     const auto service = *group.config->service("admission");
     std::vector<std::string> keys;
@@ -301,23 +302,23 @@
     const int steps = *rc::gen::inRange(5, 80);
     std::uint64_t incarnation = 1;
     for (int step = 0; step < steps; ++step) {
-        const int what = *rc::gen::inRange(0, 12);
+        const int action = *rc::gen::inRange(0, 12);
         const std::string name(1, static_cast<char>('a' + *rc::gen::inRange(0, 3)));
-        if (what == 0) {
-            group.sidecars[name]->dead = true;
-            group.tellMembers();
-        } else if (what == 1 && group.sidecars[name]->dead) {
+        if (action == 0) {
+            group.sidecars[name]->isCrashed = true;
+            group.announceMembers();
+        } else if (action == 1 && group.sidecars[name]->isCrashed) {
             group.add(name, ++incarnation);
-            group.tellMembers();
-        } else if (what == 2) {
+            group.announceMembers();
+        } else if (action == 2) {
             group.sidecars[name]->owner->drain(group.world.now());
-        } else if (what == 3) {
+        } else if (action == 3) {
             faultRate = *rc::gen::element(0, 10, 50, 100);
-        } else if (what == 4) {
+        } else if (action == 4) {
             group.world.kv.breakWatches();
-        } else if (what == 5) {
-            group.sidecars[name]->cut = true;
-        } else if (what == 6) {
+        } else if (action == 5) {
+            group.sidecars[name]->isDisconnected = true;
+        } else if (action == 6) {
             group.sidecars[name]->reconnect();
         }
         group.world.run(Milliseconds(*rc::gen::inRange(1, 6000)));
--- a/tests/unit/state_spread_test.cpp
+++ b/tests/unit/state_spread_test.cpp
@@ -26,24 +26,24 @@
         : world(in)
         , writer(ConfigWriter::Init{"/t/", name, schemaVersionOfAll, 20, 2000, &store, &in.timers, hash64(name)},
                  in.client([this](const KvReply &reply, Now at) { writer.onReply(reply, at); }),
-                 [this](const ConfigWriter::Result &told, Now) { result = told; })
+                 [this](const ConfigWriter::Result &outcome, Now) { result = outcome; })
     {
     }
-    void begin(std::vector<config::Change> changes, const std::string &id,
-               std::optional<std::uint64_t> expected = std::nullopt)
+    void startApply(std::vector<config::Change> changes, const std::string &id,
+                    std::optional<std::uint64_t> expected = std::nullopt)
     {
         result.reset();
         writer.apply(std::move(changes), id, expected, world.now());
     }
-    ConfigWriter::Result end()
+    ConfigWriter::Result awaitResult()
     {
         EXPECT_TRUE(world.runUntil(Seconds(60), [this] { return result.has_value(); }));
         return *result;
     }
     ConfigWriter::Result apply(std::vector<config::Change> changes, const std::string &id)
     {
-        begin(std::move(changes), id);
-        return end();
+        startApply(std::move(changes), id);
+        return awaitResult();
     }
     VirtualWorld &world;
     ConfigStore store;
@@ -53,19 +53,19 @@
 
 struct Process;
 
-struct Site
+struct Cluster
 {
     VirtualWorld world;
     std::map<std::string, std::unique_ptr<Process>> processes;
 
     Process &add(const std::string &name, bool mayWatch);
-    bool allAt(std::uint64_t revision) const;
-    void gossip();
+    bool areAllAt(std::uint64_t revision) const;
+    void exchangeHeartbeats();
 };
 
 struct Process
 {
-    Process(Site &site, const std::string &name, bool mayWatch)
+    Process(Cluster &cluster, const std::string &name, bool mayWatch)
     {
         ConfigSpread::Init init;
         init.self = name;
@@ -74,82 +74,82 @@
         init.keyPrefix = "/t/";
         init.mayWatch = mayWatch;
         init.store = &store;
-        init.timers = &site.world.timers;
+        init.timers = &cluster.world.timers;
         init.seed = hash64(name);
         ConfigSpread::Callbacks callbacks;
-        callbacks.submit = site.world.client([this](const KvReply &reply, Now at) {
-            spread->onReply(reply, at);
-            highest = std::max(highest, store.revision());
-            wentBack = wentBack || store.revision() < highest;
+        callbacks.submit = cluster.world.client([this](const KvReply &reply, Now at) {
+            distributor->onReply(reply, at);
+            maxRevision = std::max(maxRevision, store.revision());
+            hasReverted = hasReverted || store.revision() < maxRevision;
         });
-        callbacks.sendToPeer = [&site, name](const std::string &to, const wire::Envelope &envelope) {
-            site.world.later(Milliseconds(1), [&site, name, to, envelope](Now at) {
-                auto &peer = *site.processes.at(to);
-                if (peer.cut) {
+        callbacks.sendToPeer = [&cluster, name](const std::string &to, const wire::Envelope &envelope) {
+            cluster.world.later(Milliseconds(1), [&cluster, name, to, envelope](Now at) {
+                auto &peer = *cluster.processes.at(to);
+                if (peer.isDisconnected) {
                     return;
                 }
                 if (envelope.has_config_push()) {
-                    peer.spread->onPush(envelope.config_push(), at);
+                    peer.distributor->onPush(envelope.config_push(), at);
                 } else {
-                    peer.spread->onFetch(name, envelope.config_fetch(), at);
+                    peer.distributor->onFetch(name, envelope.config_fetch(), at);
                 }
             });
         };
         callbacks.changed = [this](Now) { ++changes; };
-        spread = std::make_unique<ConfigSpread>(init, callbacks);
+        distributor = std::make_unique<ConfigSpread>(init, callbacks);
     }
     ConfigStore store;
-    std::unique_ptr<ConfigSpread> spread;
+    std::unique_ptr<ConfigSpread> distributor;
     std::uint64_t changes = 0;
-    std::uint64_t highest = 0;
-    bool wentBack = false;
-    bool cut = false; // disconnected from its peers
+    std::uint64_t maxRevision = 0;
+    bool hasReverted = false;
+    bool isDisconnected = false; // disconnected from its peers
 };
 
-Process &Site::add(const std::string &name, bool mayWatch)
+Process &Cluster::add(const std::string &name, bool mayWatch)
 {
     auto &process = processes[name] = std::make_unique<Process>(*this, name, mayWatch);
-    process->spread->start(world.now());
+    process->distributor->start(world.now());
     return *process;
 }
 
-bool Site::allAt(std::uint64_t revision) const
+bool Cluster::areAllAt(std::uint64_t revision) const
 {
     return std::all_of(processes.begin(), processes.end(),
                        [&](const auto &entry) { return entry.second->store.revision() == revision; });
 }
 
 /// Delivers every process's revision and age to all others twice a second, as heartbeats do.
-void Site::gossip()
+void Cluster::exchangeHeartbeats()
 {
     world.later(Milliseconds(500), [this](Now at) {
         for (const auto &[name, process] : processes) {
             for (const auto &[other, peer] : processes) {
-                if (name != other && !peer->cut && !process->cut) {
-                    peer->spread->onPeerRevision(name, process->store.revision(), process->store.digest(), at,
-                                                 process->spread->age(at.mono));
+                if (name != other && !peer->isDisconnected && !process->isDisconnected) {
+                    peer->distributor->onPeerRevision(name, process->store.revision(), process->store.digest(), at,
+                                                      process->distributor->age(at.mono));
                 }
             }
         }
-        gossip();
+        exchangeHeartbeats();
     });
 }
 
-TEST(ConfigWriter, RacingOperatorsGetAConflictWithTheRevision)
+TEST(ConfigWriter, ConcurrentOperatorsGetConflictWithRevision)
 {
     VirtualWorld world;
     Operator first(world, "one");
     Operator second(world, "two");
-    first.begin({adapter(1)}, "change-1");
-    second.begin({adapter(2)}, "change-2");
-    const auto one = first.end();
-    const auto two = second.end();
+    first.startApply({adapter(1)}, "change-1");
+    second.startApply({adapter(2)}, "change-2");
+    const auto one = first.awaitResult();
+    const auto two = second.awaitResult();
     ASSERT_TRUE(one) << one.error().detail;
     ASSERT_FALSE(two);
     EXPECT_EQ(two.error().kind, ConfigErrorKind::Conflict);
     EXPECT_EQ(two.error().revision, 1U);
-    second.begin({adapter(2)}, "change-3", 0);
-    const auto late = second.end();
+    second.startApply({adapter(2)}, "change-3", 0);
+    const auto late = second.awaitResult();
     ASSERT_FALSE(late);
     EXPECT_EQ(late.error().kind, ConfigErrorKind::Conflict);
     ASSERT_TRUE(second.apply({adapter(2)}, "change-4"));
@@ -157,7 +157,7 @@
 }
 
 // A change whose reply is lost must be read back by its change id: reported as failed, it would be made a second time.
-TEST(ConfigWriter, LostReplyIsReadBackAndTheChangeIsMadeOnce)
+TEST(ConfigWriter, LostReplyIsReadBackAndAppliedOnce)
 {
     VirtualWorld world;
     int writes = 0;
@@ -182,7 +182,7 @@
     EXPECT_EQ(down.error().kind, ConfigErrorKind::Unavailable);
 }
 
-TEST(ConfigWriter, RecordThatALiveProcessCannotReadIsRefused)
+TEST(ConfigWriter, RejectsRecordUnreadableForLiveProcess)
 {
     VirtualWorld world;
     Operator writer(world, "one", 1);
@@ -193,7 +193,7 @@
     EXPECT_TRUE(writer.apply({adapter(1)}, "change-2"));
 }
 
-TEST(ConfigWriter, CompactionKeepsTheHistoryShortAndNewcomersReadIt)
+TEST(ConfigWriter, CompactionBoundsHistoryForNewReaders)
 {
     VirtualWorld world;
     Operator writer(world, "one");
@@ -201,7 +201,7 @@
         ASSERT_TRUE(writer.apply({adapter(i)}, "change-" + std::to_string(i)));
         writer.result.reset();
         writer.writer.compact(world.now());
-        ASSERT_TRUE(writer.end());
+        ASSERT_TRUE(writer.awaitResult());
     }
     EXPECT_EQ(world.kv.find("/t/config/delta/00000000000000000010"), nullptr);
     EXPECT_NE(world.kv.find("/t/config/delta/00000000000000000050"), nullptr);
@@ -212,101 +212,102 @@
     EXPECT_EQ(newcomer.store.adapterCount(), 51U);
 }
 
-TEST(ConfigSpread, ChangeIsInForceEverywhereWithinSeconds)
+TEST(ConfigDistributor, ChangeReachesAllProcessesWithinSeconds)
 {
-    Site site;
+    Cluster cluster;
     for (int i = 0; i < 3; ++i) {
-        site.add("entry-" + std::to_string(i), true);
+        cluster.add("entry-" + std::to_string(i), true);
     }
     for (int i = 0; i < 12; ++i) {
-        site.add("sidecar-" + std::to_string(i), false);
+        cluster.add("sidecar-" + std::to_string(i), false);
     }
-    site.gossip();
-    site.world.run(Seconds(10));
-    Operator writer(site.world, "one");
+    cluster.exchangeHeartbeats();
+    cluster.world.run(Seconds(10));
+    Operator writer(cluster.world, "one");
     ASSERT_TRUE(writer.apply({adapter(1)}, "change-1"));
-    const TimePoint accepted = site.world.now().mono;
-    ASSERT_TRUE(site.world.runUntil(Seconds(12), [&] { return site.allAt(1); }));
-    EXPECT_LT(site.world.now().mono - accepted, Seconds(2));
+    const TimePoint accepted = cluster.world.now().mono;
+    ASSERT_TRUE(cluster.world.runUntil(Seconds(12), [&] { return cluster.areAllAt(1); }));
+    EXPECT_LT(cluster.world.now().mono - accepted, Seconds(2));
     int watching = 0;
-    for (const auto &[name, process] : site.processes) {
-        watching += process->spread->watching() ? 1 : 0;
+    for (const auto &[name, process] : cluster.processes) {
+        watching += process->distributor->watching() ? 1 : 0;
     }
     EXPECT_LE(watching, 2);
     EXPECT_GE(watching, 1);
     // When idle, no process becomes stale, and only watchers and candidates read from the service.
-    site.world.run(Seconds(60));
-    site.world.requests = 0;
-    site.world.run(Seconds(60));
-    EXPECT_LT(static_cast<double>(site.world.requests) / 60, 4.0);
-    for (const auto &[name, process] : site.processes) {
-        EXPECT_FALSE(process->spread->stale()) << name;
+    cluster.world.run(Seconds(60));
+    cluster.world.requests = 0;
+    cluster.world.run(Seconds(60));
+    EXPECT_LT(static_cast<double>(cluster.world.requests) / 60, 4.0);
+    for (const auto &[name, process] : cluster.processes) {
+        EXPECT_FALSE(process->distributor->stale()) << name;
     }
 }
 
 // A process that starts during an outage of the service must fetch the configuration from a peer, and become stale if
 // it stays unconfirmed.
-TEST(ConfigSpread, StartDuringAnOutageTakesTheConfigurationFromAPeer)
+TEST(ConfigDistributor, StartDuringOutageFetchesConfigurationFromPeer)
 {
-    Site site;
-    auto &old = site.add("entry-0", true);
-    Operator writer(site.world, "one");
+    Cluster cluster;
+    auto &old = cluster.add("entry-0", true);
+    Operator writer(cluster.world, "one");
     for (int i = 0; i < 600; ++i) {
         ASSERT_TRUE(writer.apply({adapter(i)}, "change-" + std::to_string(i)));
     }
-    ASSERT_TRUE(site.world.runUntil(Seconds(20), [&] { return old.store.revision() == 600; }));
-    site.world.rule = [](const KvRequest &) { return KvFault::Down; };
-    auto &fresh = site.add("entry-1", true);
-    site.world.run(Seconds(1));
-    EXPECT_TRUE(fresh.spread->empty());
-    EXPECT_TRUE(fresh.spread->stale());
-    site.gossip();
-    ASSERT_TRUE(site.world.runUntil(Seconds(10), [&] { return fresh.store.revision() == 600; }));
+    ASSERT_TRUE(cluster.world.runUntil(Seconds(20), [&] { return old.store.revision() == 600; }));
+    cluster.world.rule = [](const KvRequest &) { return KvFault::Down; };
+    auto &fresh = cluster.add("entry-1", true);
+    cluster.world.run(Seconds(1));
+    EXPECT_TRUE(fresh.distributor->empty());
+    EXPECT_TRUE(fresh.distributor->stale());
+    cluster.exchangeHeartbeats();
+    ASSERT_TRUE(cluster.world.runUntil(Seconds(10), [&] { return fresh.store.revision() == 600; }));
     EXPECT_EQ(fresh.store.digest(), old.store.digest());
-    site.world.run(Seconds(60));
-    EXPECT_TRUE(old.spread->stale());
-    EXPECT_TRUE(fresh.spread->stale()) << "two processes cannot confirm one another";
-    site.world.rule = nullptr;
-    EXPECT_TRUE(site.world.runUntil(Seconds(60), [&] { return !old.spread->stale() && !fresh.spread->stale(); }));
+    cluster.world.run(Seconds(60));
+    EXPECT_TRUE(old.distributor->stale());
+    EXPECT_TRUE(fresh.distributor->stale()) << "peers cannot confirm one another";
+    cluster.world.rule = nullptr;
+    EXPECT_TRUE(
+        cluster.world.runUntil(Seconds(60), [&] { return !old.distributor->stale() && !fresh.distributor->stale(); }));
 }
 
 // Under random faults no store may go back or diverge, and all must reach the head afterwards.
-RC_GTEST_PROP(ConfigSpread, NeverGoesBackAndConverges, ())
+RC_GTEST_PROP(ConfigDistributor, NeverRevertsAndConverges, ())
 {
-    Site site;
+    Cluster cluster;
     Random random(*rc::gen::arbitrary<std::uint64_t>());
-    std::uint64_t rate = 0;
-    site.world.rule = [&](const KvRequest &) {
+    std::uint64_t faultPercent = 0;
+    cluster.world.rule = [&](const KvRequest &) {
         const std::array faults{KvFault::Down, KvFault::LostRequest, KvFault::LostReply};
-        return random.below(100) < rate ? faults[random.below(faults.size())] : KvFault::None;
+        return random.below(100) < faultPercent ? faults[random.below(faults.size())] : KvFault::None;
     };
     for (const char *name : {"e0", "e1", "s0", "s1"}) {
-        site.add(name, name[0] == 'e');
+        cluster.add(name, name[0] == 'e');
     }
-    site.gossip();
-    Operator writer(site.world, "one");
-    Operator rival(site.world, "two");
+    cluster.exchangeHeartbeats();
+    Operator writer(cluster.world, "one");
+    Operator rival(cluster.world, "two");
     std::uint64_t accepted = 0;
     const int steps = *rc::gen::inRange(1, 30);
     for (int step = 0; step < steps; ++step) {
-        rate = *rc::gen::element<std::uint64_t>(0, 0, 30, 100);
-        site.processes["s0"]->cut = *rc::gen::inRange(0, 3) == 0;
-        writer.begin({adapter(step)}, "w" + std::to_string(step));
-        rival.begin({adapter(1000 + step)}, "r" + std::to_string(step));
-        const auto one = writer.end();
-        const auto two = rival.end();
+        faultPercent = *rc::gen::element<std::uint64_t>(0, 0, 30, 100);
+        cluster.processes["s0"]->isDisconnected = *rc::gen::inRange(0, 3) == 0;
+        writer.startApply({adapter(step)}, "w" + std::to_string(step));
+        rival.startApply({adapter(1000 + step)}, "r" + std::to_string(step));
+        const auto one = writer.awaitResult();
+        const auto two = rival.awaitResult();
         accepted += (one ? 1 : 0) + (two ? 1 : 0);
-        site.world.run(Milliseconds(*rc::gen::inRange(1, 9000)));
+        cluster.world.run(Milliseconds(*rc::gen::inRange(1, 9000)));
     }
-    rate = 0;
-    site.processes["s0"]->cut = false;
+    faultPercent = 0;
+    cluster.processes["s0"]->isDisconnected = false;
     ASSERT_TRUE(writer.apply({adapter(5000)}, "last"));
     ++accepted;
     const auto head = writer.store.revision();
     RC_ASSERT(head >= accepted);
-    RC_ASSERT(site.world.runUntil(Seconds(90), [&] { return site.allAt(head); }));
-    for (const auto &[name, process] : site.processes) {
-        RC_ASSERT(!process->wentBack);
+    RC_ASSERT(cluster.world.runUntil(Seconds(90), [&] { return cluster.areAllAt(head); }));
+    for (const auto &[name, process] : cluster.processes) {
+        RC_ASSERT(!process->hasReverted);
         RC_ASSERT(process->store.digest() == writer.store.digest());
     }
 }
