--- a/src/settings/rules.h
+++ b/src/settings/rules.h
@@ -1,4 +1,4 @@
-// The rules that settings are checked by: one line a field, with default, range and meaning.
+// Validation rules of the settings: one entry per field with default, range and meaning.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace anvilscale::settings_rules {
 
-/// Which role's settings a field belongs to.
+/// Roles whose settings contain a field.
 enum class Scope : std::uint8_t {
     All,
     Relayed, ///< entry and sidecar of the relayed path
@@ -23,51 +23,51 @@
 {
     std::string_view path;
     Scope scope;
-    double initial;
-    double least;
-    double most;
-    std::string_view meaning;
+    double defaultValue;
+    double minValue;
+    double maxValue;
+    std::string_view description;
 };
 
-enum class TextForm : std::uint8_t {
+enum class TextFormat : std::uint8_t {
     Any,
     Name, ///< letters, digits, '-', '_', '.'
-    IpNumber,
-    LoopbackNumber,
+    IpAddress,
+    LoopbackAddress,
     AddressPort,
     Url, ///< http://IP:PORT with an optional path
     LoopbackUrl,
     Role,
     EndpointKind,
     LogLevel,
-    NameList ///< letters, digits, '_' and commas between
+    NameList ///< names of letters, digits and '_', separated by commas
 };
 
 struct TextRule
 {
     std::string_view path;
     Scope scope;
-    TextForm form;
+    TextFormat format;
     bool required;
-    std::string_view initial;
-    std::string_view meaning;
+    std::string_view defaultValue;
+    std::string_view description;
 };
 
 struct FlagRule
 {
     std::string_view path;
     Scope scope;
-    bool initial;
-    std::string_view meaning;
+    bool defaultValue;
+    std::string_view description;
 };
 
 std::span<const NumberRule> numbers();
 std::span<const TextRule> texts();
 std::span<const FlagRule> flags();
-bool matches(TextForm form, std::string_view text);
-std::string_view describe(TextForm form);
+bool matches(TextFormat format, std::string_view text);
+std::string_view describe(TextFormat format);
 std::string_view describe(Scope scope);
-/// True if a process of `role` reads settings of this scope.
+/// Returns true if a process of `role` reads settings of this scope.
 bool applies(Scope scope, std::string_view role);
 
 } // namespace anvilscale::settings_rules
--- a/src/state/kv_ids.h
+++ b/src/state/kv_ids.h
@@ -1,4 +1,4 @@
-// Numbers of requests to the key-value service, and the waits between them.
+// Request ids and backoff for the key-value service.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -7,49 +7,49 @@
 
 namespace anvilscale {
 
-/// Numbers that two parts of a process do not share: the upper half comes from the part's name.
-class KvIds
+/// Generates request ids that are unique within a process: the upper half is a hash of the component's name.
+class KvRequestIds
 {
 public:
-    explicit KvIds(std::string_view part)
-        : upper_(hash64(part) << 32)
+    explicit KvRequestIds(std::string_view component)
+        : upperBits_(hash64(component) << 32)
     {
     }
     KvHandle next()
     {
-        return KvHandle{upper_ | ++last_};
+        return KvHandle{upperBits_ | ++last_};
     }
 
 private:
-    std::uint64_t upper_;
+    std::uint64_t upperBits_;
     std::uint32_t last_ = 0;
 };
 
-/// Waits that double up to a limit, with jitter: after an outage the processes come back spread over the limit
-/// instead of all at once, which would take the service down again.
+/// Exponential backoff with jitter. Spreads the retries of many processes after an outage, which could otherwise
+/// overload the service again.
 class Backoff
 {
 public:
-    Backoff(Duration first, Duration longest)
-        : first_(first)
-        , longest_(longest)
-        , wait_(first)
+    Backoff(Duration initialWait, Duration maxWait)
+        : initialWait_(initialWait)
+        , maxWait_(maxWait)
+        , wait_(initialWait)
     {
     }
     Duration next(Random &random)
     {
         const Duration wait = random.jitter(wait_ * 2);
-        wait_ = std::min(wait_ * 2, longest_);
+        wait_ = std::min(wait_ * 2, maxWait_);
         return wait;
     }
     void reset()
     {
-        wait_ = first_;
+        wait_ = initialWait_;
     }
 
 private:
-    Duration first_;
-    Duration longest_;
+    Duration initialWait_;
+    Duration maxWait_;
     Duration wait_;
 };
 
--- a/src/state/later_now.h
+++ b/src/state/later_now.h
@@ -1,16 +1,16 @@
-// The time that a timer's callback is given.
+// Derives the current time in timer callbacks.
 #pragma once
 
 #include "anvilscale/base.h"
 
 namespace anvilscale {
 
-/// `armed` moved on to `at`. The wall clock is taken to have gone on evenly: good for logs and waits, while whatever
-/// the proof of at-most-once rests on uses a wall time that was read for a reply.
-inline Now laterNow(Now armed, TimePoint at)
+/// Advances `start` to `at`. The wall clock is extrapolated, which is sufficient for logs and delays; the at-most-once
+/// guarantee uses only wall times that were read for a reply.
+inline Now advanceNow(Now start, TimePoint at)
 {
-    const auto passed = std::chrono::duration_cast<Milliseconds>(at - armed.mono).count();
-    return Now{at, WallTime{armed.wall.ms + passed}};
+    const auto elapsedMs = std::chrono::duration_cast<Milliseconds>(at - start.mono).count();
+    return Now{at, WallTime{start.wall.ms + elapsedMs}};
 }
 
 } // namespace anvilscale
