--- a/include/anvilscale/direct.h
+++ b/include/anvilscale/direct.h
@@ -1,6 +1,5 @@
-// Direct library: the decisions of the direct path, on which an entry sends each call to an endpoint itself and a
-// sidecar only orders models and adapters into the engine beside it. No I/O, threads or clocks: time and events come
-// from outside, actions go out, so that tests drive the same objects without a network.
+// Direct library: decisions of the direct path, where an entry sends calls to endpoints itself and a sidecar only
+// orders loads into its engine. No I/O, threads or clocks: time and events are passed in, actions are returned.
 #pragma once
 
 #include "wire.pb.h"
@@ -18,13 +17,13 @@
 
 namespace anvilscale {
 
-// ---- what operators and endpoints declare
+// ---- configuration and endpoint records
 
-/// What may be done again with a call whose outcome is not known.
+/// Whether a call with an unknown outcome may be sent again.
 enum class RepeatRule : std::uint8_t {
     Idempotent,
     NonIdempotent,
-    Stream, ///< an event stream; repeated only where the route lets it be resumed
+    Stream, ///< an event stream; repeated only if the route allows resuming it
     Count
 };
 template<>
@@ -34,7 +33,7 @@
                                                                                "stream"};
 };
 
-/// One of the services that share a route's calls.
+/// One of the services that share the calls of a route.
 struct ServiceShare
 {
     std::string service;
@@ -45,15 +44,15 @@
 {
     std::string name;
     std::string host;
-    std::string prefix; ///< of the path; begins and ends with a slash
+    std::string prefix; ///< path prefix; starts and ends with a slash
     RepeatRule repeat = RepeatRule::NonIdempotent;
     bool resumable = false;
-    Duration timeout{}; ///< longest time that the operator lets a call last
-    Duration objective{}; ///< to the whole answer, or to the first event of a stream
-    Duration firstByteLimit{}; ///< callers leave an event stream that has not begun by then; 0: at their deadline
+    Duration timeout{}; ///< upper bound on a call's duration, set by the operator
+    Duration objective{}; ///< time to the whole answer, or to the first event of a stream
+    Duration firstByteLimit{}; ///< callers abandon a stream without a first event by then; 0: at their deadline
     std::uint32_t priority = 0; ///< 0 is the most urgent
-    std::uint32_t maxEndpoints = 1; ///< that one call may be sent to
-    std::vector<ServiceShare> services; ///< at least one
+    std::uint32_t maxEndpoints = 1; ///< maximum number of endpoints that one call is sent to
+    std::vector<ServiceShare> services; ///< never empty
 };
 
 struct EngineModelSize
@@ -61,26 +60,26 @@
     std::string name;
     double weightsMb = 0;
     double adapterMb = 0;
-    /// Of the model into an engine that had it before, from the engine's own disk; 0: not told.
+    /// Time to load the model from the engine's own disk after a restart; 0 if unknown.
     Duration reload{};
 };
 
-/// What an engine of a service can hold.
+/// Capacity of an engine of a service.
 struct EngineLimits
 {
     std::uint32_t adapterSlots = 0;
-    double weightsMb = 0; ///< models and adapters together
+    double weightsMb = 0; ///< limit for models and adapters together
     std::vector<EngineModelSize> models;
 };
 
 struct DirectService
 {
     std::string name;
-    std::uint32_t maxConnections = 0; ///< of all callers of one endpoint together
-    std::optional<EngineLimits> engine; ///< none: a plain service
+    std::uint32_t maxConnections = 0; ///< limit per endpoint, over all callers
+    std::optional<EngineLimits> engine; ///< empty for a plain service
 };
 
-/// Bounds on what callers may send.
+/// Bounds on caller requests.
 struct CallerLimits
 {
     std::uint32_t headBytes = 16U << 10;
@@ -97,7 +96,7 @@
     CallerLimits limits;
 
     const DirectService *service(std::string_view name) const;
-    /// nullptr if no engine of the service is declared to hold the model.
+    /// Returns nullptr if no engine of the service is declared to hold the model.
     const EngineModelSize *model(std::string_view serviceName, std::string_view modelName) const;
 };
 
@@ -109,25 +108,25 @@
     auto operator<=>(const HeldAdapter &) const = default; // NOLINT(modernize-use-nullptr): not a pointer
 };
 
-/// One endpoint as it declares itself in the platform's store.
+/// An endpoint as declared in the platform's store.
 struct EndpointRecord
 {
-    std::string id; ///< may be used again by the next incarnation
+    std::string id; ///< may be reused by a later incarnation
     std::string service;
     std::string address; ///< "IP:PORT"
     std::string dataCentre;
-    std::uint32_t slots = 0; ///< calls that it works on at the same time
+    std::uint32_t slots = 0; ///< number of calls it processes concurrently
     bool leaving = false;
-    std::uint64_t born = 0; ///< Unix millisecond of its start; tells incarnations of one id apart; 0: not told
-    std::uint64_t era = 0; ///< of the store, in which this was told
-    std::uint64_t created = 0; ///< grows with each record that is created in the store, within an era
-    std::uint64_t revision = 0; ///< of the store, at the record's last change
+    std::uint64_t born = 0; ///< process start in Unix milliseconds, distinguishes incarnations; 0 if unknown
+    std::uint64_t era = 0; ///< era of the store in which this record was read
+    std::uint64_t created = 0; ///< increases with each record created in the store, within an era
+    std::uint64_t revision = 0; ///< store revision of the last change of the record
     std::vector<std::string> models;
     std::vector<HeldAdapter> adapters;
     bool operator==(const EndpointRecord &) const = default;
 };
 
-/// A new version of an adapter that the operator has named.
+/// A new version of an adapter, published by the operator.
 struct NamedVersion
 {
     std::string model;
@@ -135,66 +134,66 @@
     std::uint32_t version = 0;
 };
 
-/// One record of the store in the project's terms.
+/// Removal of an endpoint's record from the store.
 struct EndpointRemoved
 {
     std::string id;
-    bool unreadable = false; ///< its record is there, but is not that of an endpoint
-    Duration heldBack{}; ///< since it was seen to be gone: it might have come back
-    std::uint64_t revision = 0; ///< of the store, at the removal; 0: not told
+    bool unreadable = false; ///< a record exists, but is not one of an endpoint
+    Duration heldBack{}; ///< time since the removal was seen; removals are withheld in case the record reappears
+    std::uint64_t revision = 0; ///< store revision of the removal; 0 if unknown
 };
-/// Names what a call asks for. Equal for every repeat of a caller's request, which comes under a new request id each
-/// time, at any entry.
+/// Identifies the content of a request. Equal for all repeats of a request, at any entry, although each has its own
+/// request id.
 struct CallFingerprint
 {
     std::uint64_t value = 0;
     auto operator<=>(const CallFingerprint &) const = default; // NOLINT(modernize-use-nullptr): not a pointer
 
-    /// 16 hexadecimal digits, as logs show it.
+    /// 16 hexadecimal digits, as in logs.
     std::string text() const;
-    /// Reads such a text.
+    /// Parses the text form; empty for any other text.
     static std::optional<CallFingerprint> read(std::string_view text);
 };
 
-/// Calls that an endpoint had under way when it broke them off, as one entry saw it. Any of them may have crashed it.
+/// Calls in progress at an endpoint when it broke them off, as seen by one entry. Any of them may have crashed it.
 struct CrashReport
 {
     std::string endpointId;
-    std::uint64_t born = 0; ///< of the endpoint's process; 0: not told
+    std::uint64_t born = 0; ///< start of the endpoint's process in Unix milliseconds; 0 if unknown
     std::vector<CallFingerprint> suspects;
 };
-/// So long a crash counts against the requests that were under way.
+/// Time for which a crash counts against the requests that were in progress.
 constexpr Duration crashReportLife = Seconds(600);
 
 using StoreRecord = std::variant<DirectConfig, EndpointRecord, EndpointRemoved, NamedVersion, CrashReport>;
 
 // ---- policy
 
-/// Decisions that can be switched off one by one, to measure what each is worth. None of them keeps a promise: without
-/// any of them calls are served, later or at a higher price.
+/// Optimizations that can be disabled one by one for measurements. Correctness does not depend on any of them:
+/// without them calls are still served, later or at a higher cost.
 enum class Mechanism : std::uint8_t {
-    KeptParts, ///< a call goes where the shared parts of its prompt are likely kept
-    Sampling, ///< an engine for an absent adapter is sought among a few that are drawn at random
-    Home, ///< entries that know nothing of each other load an absent adapter into the same engine
-    LoadPrice, ///< an adapter that is there already is preferred to a load
-    OthersWork, ///< prompts of other entries' calls count as an engine's backlog
-    PlannedWork, ///< so do prompts of calls that wait for an adapter there
-    Popularity, ///< the more often an adapter is called, the less a further copy of it counts as a price
-    Awaited, ///< an adapter that calls wait for somewhere is not loaded elsewhere
-    SlotQueue, ///< where all slots have running calls, a further adapter waits for one
-    StoreForecast, ///< what the weight store takes lately decides which calls are refused
-    Copies, ///< an adapter goes back to the engine that has a copy of it
-    Slowness, ///< an engine that answers later than estimated counts as slow
-    Avoidance, ///< an endpoint that fails or is silent is avoided for a while
-    Unreachable, ///< an engine that its sidecar cannot reach is left
-    EarlyRefusal, ///< a call that cannot begin before its caller leaves is refused at once
-    LateRank, ///< a call that cannot be in time any more comes behind the others at the engine
-    InTimeFirst, ///< adapters that let calls be in time are loaded first
-    LoadWindow, ///< fewer loads go on side by side while the weight store is slow
-    LearnedReading, ///< how fast engines read prompts is measured
-    LearnedLoads, ///< how long loads take is measured
-    LearnedRuns, ///< how long calls last is measured
-    LearnedOrders, ///< how long an order's answer takes is measured
+    KeptParts, ///< prefers the engine that probably caches the shared parts of a prompt
+    Sampling, ///< limits the engines for an absent adapter to a random sample
+    Home, ///< lets independent entries load an absent adapter into the same engine
+    LoadPrice, ///< prefers a resident adapter to a load
+    OthersWork, ///< counts prompts of other entries in an engine's backlog
+    PlannedWork, ///< counts prompts of calls that wait for an adapter in an engine's backlog
+    Popularity, ///< lowers the cost of a further copy of an adapter with its call rate
+    Awaited, ///< avoids loading an adapter that another engine is about to load
+    SlotQueue, ///< accounts for the wait for an adapter slot when all slots are in use
+    StoreForecast, ///< uses recent load times of the weight store for early refusals
+    Copies, ///< prefers the engine that has a local copy of the adapter
+    Slowness, ///< accounts for engines that answer later than estimated
+    Avoidance, ///< avoids failing or silent endpoints for a while
+    Unreachable, ///< avoids engines that their sidecars report unreachable
+    EarlyRefusal, ///< refuses calls that cannot start before their callers leave
+    LateRank, ///< gives calls that already miss their objective a lower rank at the engine
+    InTimeFirst, ///< loads adapters first whose calls can still meet their objective
+    LoadWindow, ///< reduces concurrent loads while the weight store is slow
+    LearnedReading, ///< measures how fast engines read prompts
+    LearnedLoads, ///< measures load times
+    LearnedRuns, ///< measures call durations
+    LearnedOrders, ///< measures answer times of engine orders
     Count
 };
 template<>
@@ -207,19 +206,18 @@
         "learned_reading", "learned_loads", "learned_runs",  "learned_orders"};
 };
 
-/// Weights of the choice, as times by which a caller may wait longer for what they stand for. None is a property of a
-/// deployment: times of loads, prompts and calls are learned.
+/// Weights of the endpoint choice, expressed as additional waiting time. Times of loads, prompts and calls are
+/// learned and not configured here.
 struct DirectPolicy
 {
-    /// What a load from the weight store costs the others, on top of its own time. As 2.3 times the measured time of a
-    /// load it kept calls at full engines where loads are slow: worth 0.56 against 0.63, six days of 24 VMs.
+    /// Cost of a load from the weight store to other calls, in addition to its own duration.
     double loadPriceMs = 630;
-    double homeMs = 200; ///< how much worse its home must be for a load of an absent adapter than another engine
-    double otherCentreMs = 25; ///< bytes between data centres are paid for: worth of staying in one's own
+    double homeMs = 200; ///< penalty for loading an absent adapter outside its home engine
+    double otherCentreMs = 25; ///< penalty for another data centre, whose traffic is billed
     double failingMs = 3000; ///< for an endpoint that fails every call; less in proportion
-    double avoidedMs = 8000; ///< for one that has just failed, is silent, or cannot be reached
-    std::uint32_t lateRank = 4; ///< ranks that a call which cannot be in time any more comes behind at the engine
-    std::bitset<enumCount<Mechanism>> without; ///< switched off
+    double avoidedMs = 8000; ///< for an endpoint that is failing, silent or unreachable
+    std::uint32_t lateRank = 4; ///< added to the rank of a call that already misses its objective
+    std::bitset<enumCount<Mechanism>> without; ///< disabled mechanisms
 
     bool has(Mechanism mechanism) const
     {
@@ -227,19 +225,19 @@
     }
 };
 
-/// Names separated by commas; the first one that is not known is the error.
+/// Parses names separated by commas; the error is the first unknown name.
 tl::expected<std::bitset<enumCount<Mechanism>>, std::string> readMechanisms(std::string_view names);
 
 // ---- calls
 
-/// One part of a prompt: endpoints keep parts that several calls share.
+/// A part of a prompt. Endpoints cache parts that several calls share.
 struct PromptPart
 {
     std::string id;
     std::uint32_t tokens = 0;
 };
 
-/// What the entry knows of a call when its request has been read.
+/// Data of a call, taken from its request.
 struct CallFacts
 {
     std::string requestId;
@@ -247,21 +245,21 @@
     std::string host;
     std::string path;
     std::string model; ///< empty for a plain service
-    std::string adapter; ///< empty: the model alone
+    std::string adapter; ///< empty for the model alone
     std::uint32_t promptTokens = 0;
-    std::vector<PromptPart> parts; ///< in the order of the prompt; the last one is the call's own
+    std::vector<PromptPart> parts; ///< in prompt order; the last one belongs to this call alone
     Duration patience{}; ///< time for which the caller waits
 };
 
 CallFingerprint fingerprintOf(std::string_view method, std::string_view target, std::string_view body,
                               const CallFacts &facts);
 
-/// Why an endpoint did not run a call that reached it, by its own word.
+/// Reason reported by an endpoint that did not run a call.
 enum class EndpointRefusal : std::uint8_t {
     None,
-    Full, ///< no place, or an order holds the call up
-    OtherIncarnation, ///< the address belongs to another incarnation by now
-    NotLoaded, ///< the model, the adapter or the version asked for is not there
+    Full, ///< no free slot, or blocked by an order
+    OtherIncarnation, ///< the address belongs to another incarnation
+    NotLoaded, ///< the requested model, adapter or version is not loaded
     Other,
     Count
 };
@@ -272,13 +270,13 @@
                                                                                     "not_loaded", "other"};
 };
 
-/// How one attempt at an endpoint ended.
+/// Result of one attempt at an endpoint.
 enum class AttemptEnd : std::uint8_t {
-    Answered, ///< the whole answer has gone to the caller
-    OwnFailure, ///< the endpoint ran the call and answers with a failure of its own
-    Refused, ///< the endpoint says that it has not run the call
+    Answered, ///< the whole answer has been sent to the caller
+    OwnFailure, ///< the endpoint ran the call and answered with an error
+    Refused, ///< the endpoint reports that it did not run the call
     Unreachable, ///< no byte was sent
-    Broken, ///< sent, and no whole answer: it may have run
+    Broken, ///< sent, but the answer is incomplete: the call may have run
     Count
 };
 template<>
@@ -288,11 +286,11 @@
                                                                                "unreachable", "broken"};
 };
 
-/// What an endpoint says of itself with an answer, besides the answer.
+/// Status of an endpoint that it reports along with an answer.
 struct EndpointNotice
 {
-    bool leaving = false; ///< it takes no new calls
-    Duration pause{}; ///< it wants no calls of this entry for so long; 0: not told
+    bool leaving = false; ///< accepts no new calls
+    Duration pause{}; ///< time for which it accepts no calls of this entry; 0 if not reported
 
     bool empty() const
     {
@@ -304,12 +302,12 @@
 {
     AttemptEnd end = AttemptEnd::Broken;
     EndpointRefusal refusal = EndpointRefusal::None;
-    std::uint32_t status = 0; ///< of the endpoint's answer, 0 if there was none
-    bool callerHasBytes = false; ///< part of the answer has gone to the caller
-    Duration longestPause{}; ///< between parts of an event stream, as they came from the endpoint
+    std::uint32_t status = 0; ///< of the endpoint's answer; 0 without an answer
+    bool callerHasBytes = false; ///< part of the answer has been sent to the caller
+    Duration longestPause{}; ///< longest interval between parts of an event stream, as received from the endpoint
 };
 
-/// Actions for whoever owns the sockets.
+/// Actions for the owner of the sockets.
 struct SendCall
 {
     CallHandle call;
@@ -317,42 +315,42 @@
     std::string endpointId;
     std::string address;
     std::uint32_t priority = 0;
-    std::uint32_t version = 0; ///< of the adapter, 0: any
-    TimePoint deadline; ///< of the caller
-    bool holdAnswer = false; ///< a failure may still be repaired by another attempt: pass on only a whole success
+    std::uint32_t version = 0; ///< minimum version of the adapter; 0: any
+    TimePoint deadline; ///< deadline of the caller
+    bool holdAnswer = false; ///< another attempt may follow: forward only a complete, successful answer
 };
 struct RefuseCall
 {
     CallHandle call;
     std::uint32_t status = 503;
-    Duration retryAfter{}; ///< 0: none is told
+    Duration retryAfter{}; ///< 0: none is sent
     RefusalReason reason = RefusalReason::None;
 };
-/// Gives the caller the answer of the last attempt as it is.
+/// Forwards the answer of the last attempt unchanged.
 struct PassAnswer
 {
     CallHandle call;
 };
-/// Ends a call that was sent: its connection is closed and the caller is told that the outcome is not known.
+/// Terminates a call that was sent: closes its connection and reports an unknown outcome to the caller.
 struct AbandonCall
 {
     CallHandle call;
     FailureReason reason = FailureReason::None;
 };
-/// Tells the sidecar at this address what is wanted of its engine.
+/// Sends the sidecar at this address the demand for its engine.
 struct SendWishes
 {
-    std::string address; ///< of the endpoint
+    std::string address; ///< address of the endpoint
     wire::DirectDemand demand;
 };
-/// The process at this address has ended: connections to it that are kept for later calls lead nowhere.
+/// The process at this address has terminated: closes the idle connections to it.
 struct DropConnections
 {
     std::string address;
 };
 using DirectAction = std::variant<SendCall, RefuseCall, PassAnswer, AbandonCall, SendWishes, DropConnections>;
 
-/// Finds the route of a host and path: the longest prefix that begins the path.
+/// Finds routes by host and longest matching path prefix.
 class RouteTable
 {
 public:
@@ -364,12 +362,12 @@
     std::unordered_map<std::string, std::vector<DirectRoute>> byHost_; // routes of a host, longest prefix first
 };
 
-/// How a call ended for its caller.
+/// Outcome of a call for its caller.
 enum class EndedOutcome : std::uint8_t {
     Answered,
-    OwnFailure, ///< the endpoint's failure was passed on
+    OwnFailure, ///< the endpoint's error was forwarded
     Refused, ///< not run
-    Abandoned, ///< sent, and ended without a whole answer
+    Abandoned, ///< sent, and ended without a complete answer
     CallerGone,
     Count
 };
@@ -380,31 +378,31 @@
                                                                                  "abandoned", "caller_gone"};
 };
 
-/// What is logged of a call that has ended, with what decided it.
+/// Log record of an ended call, with the data behind its last decision.
 struct EndedCall
 {
     std::string requestId;
     CallFingerprint fingerprint;
     EndedOutcome outcome = EndedOutcome::Answered;
-    std::string reason; ///< name of the RefusalReason or FailureReason; empty if it went well
-    std::uint32_t status = 0; ///< of the endpoint's answer, 0 if there was none
+    std::string reason; ///< name of the RefusalReason or FailureReason; empty on success
+    std::uint32_t status = 0; ///< of the endpoint's answer; 0 without an answer
     std::string service;
     std::string adapter;
     std::string endpointId; ///< of the last decision
     std::uint32_t attempts = 0;
     std::uint64_t configVersion = 0;
-    Duration estimate{}; ///< of the time to the first byte, at the last decision
-    Duration stateAge{}; ///< of the endpoint's state at the last decision; negative: none
-    Duration storeAge{}; ///< since the last answer of the store, at the last decision
+    Duration estimate{}; ///< estimated time to the first byte, at the last decision
+    Duration stateAge{}; ///< age of the endpoint's state at the last decision; negative without a state
+    Duration storeAge{}; ///< time since the last answer of the store, at the last decision
     Duration adapterWait{};
     std::optional<Duration> firstByte;
-    Duration longestPause{}; ///< between two parts of an event stream
+    Duration longestPause{}; ///< longest interval between two parts of an event stream
     Duration total{};
     Duration patience{};
     std::uint32_t promptTokens = 0;
 };
 
-/// What is logged of an attempt that did not answer its call, with what the endpoint said.
+/// Log record of an attempt that did not complete its call.
 struct FailedAttempt
 {
     std::string requestId;
@@ -412,14 +410,14 @@
     std::uint32_t attempt = 0;
     std::string endpointId;
     AttemptResult result;
-    Duration after{}; ///< since it was sent
+    Duration after{}; ///< time since the call was sent
 };
 
 struct DirectCallsInit
 {
     std::string dataCentre;
-    double retryRatio = 0.2; ///< calls that all entries may send once more, as a share of the calls of a service
-    double retrySlack = 0; ///< and so many more of all entries together, in any span of some seconds
+    double retryRatio = 0.2; ///< share of a service's calls that all entries together may retry
+    double retrySlack = 0; ///< additional retries of all entries together, within any few seconds
     DirectPolicy policy;
 };
 
@@ -429,14 +427,14 @@
     std::uint64_t sent = 0;
     std::uint64_t waitedForAdapter = 0; ///< load stalls
     std::uint64_t open = 0;
-    std::uint64_t quarantined = 0; // requests under which too many endpoints ended
+    std::uint64_t quarantined = 0; // requests put under quarantine
     Counters<AttemptEnd> ends;
     Counters<EndpointRefusal> endpointRefusals;
     Counters<RefusalReason> refusals;
     Counters<RetryReason> retries;
 };
 
-/// All calls of one entry: routes them, waits for adapters, sends again what may be sent again.
+/// The calls of one entry: routes them, waits for adapters and retries them where allowed.
 class DirectCalls
 {
 public:
@@ -445,48 +443,48 @@
     DirectCalls(const DirectCalls &) = delete;
     DirectCalls &operator=(const DirectCalls &) = delete;
 
-    // Knowledge.
-    /// Returns false for a version that is not newer than the one in force.
+    // Configuration and endpoint state.
+    /// Returns false for a version that is not newer than the current one.
     bool applyConfig(const DirectConfig &config, TimePoint now);
-    /// True if the endpoint is new, has started again, or has begun to leave.
+    /// Returns true if the endpoint is new, has restarted, or has started to leave.
     bool applyEndpoint(const EndpointRecord &record, TimePoint now);
     void removeEndpoint(const std::string &id, TimePoint now);
     void applyVersion(const NamedVersion &version, TimePoint now);
-    /// What an entry saw of an endpoint that broke its calls off; this one's own reports may come back.
+    /// Calls that broke off at an endpoint, as seen by any entry; reports of this entry may be included.
     void applyCrashReport(const CrashReport &report, TimePoint now);
-    /// The sidecar beside the endpoint at this address tells its engine's state.
+    /// Engine state from the sidecar beside the endpoint at this address.
     void applyState(const std::string &address, const wire::DirectState &state, TimePoint now);
-    /// Nothing but the load has changed since a state that it told before.
+    /// Updates the load figures of a state received before.
     void applyHeartbeat(const std::string &address, const wire::DirectHeartbeat &heartbeat, TimePoint now);
     void sidecarLost(const std::string &address);
-    /// The store has answered: what it has told up to now is known.
+    /// The store has answered: all its earlier changes have been applied.
     void storeAnswered(TimePoint now);
-    /// Address of the endpoint whose sidecar asks the store for this entry; empty: none does. All entries choose the
-    /// same one, so that one call of it serves them all.
+    /// Address of the endpoint whose sidecar watches the store for this entry; empty if none does. All entries select
+    /// the same one, so that a single watch serves them all.
     std::string storeSharer(TimePoint now) const;
-    /// That sidecar could not tell, or did not answer: another one is chosen for a while.
+    /// The sidecar failed or did not answer: selects another one for a while.
     void storeSharerFailed(const std::string &address, TimePoint now);
 
     // Calls.
     void arrive(CallHandle call, CallFacts facts, TimePoint now);
-    /// An answer has told something of the endpoint itself. Returns false for what is known already.
+    /// An answer carried a notice of the endpoint. Returns false if it was known already.
     bool endpointTold(const std::string &endpointId, const EndpointNotice &notice, TimePoint now);
-    /// The endpoint has begun its answer.
+    /// The endpoint has started its answer.
     void answerBegan(CallHandle call, std::uint32_t attempt, TimePoint now);
     void attemptEnded(CallHandle call, std::uint32_t attempt, const AttemptResult &result, TimePoint now);
     void callerGone(CallHandle call, TimePoint now);
-    /// To be called every directTick: waits that are over, and what the sidecars are to know.
+    /// Checks deadlines and waiting calls and sends demand to sidecars. Called every directTick.
     void tick(TimePoint now);
 
     std::vector<DirectAction> takeActions();
     std::vector<EndedCall> takeEnded();
     std::vector<FailedAttempt> takeFailedAttempts();
-    /// To be told to all entries.
+    /// Reports to publish to all entries.
     std::vector<CrashReport> takeCrashReports();
-    /// Requests that go to no endpoint from now on: too many have ended under them.
+    /// Requests newly under quarantine, which are sent to no endpoint any more.
     std::vector<CallFingerprint> takeQuarantined();
     bool configured() const;
-    /// True if callers may be sent here: there are a configuration, endpoints and news of what they hold.
+    /// True if callers may be sent here: the configuration, endpoints and engine states are known.
     bool ready(TimePoint now) const;
     const DirectConfig &config() const;
     std::vector<std::string> engineAddresses() const;
@@ -498,18 +496,18 @@
     std::unique_ptr<Impl> impl_;
 };
 
-/// Interval of DirectCalls::tick. Short against the time that an adapter takes to load (some 250 ms).
+/// Interval of DirectCalls::tick; short against the load time of an adapter (about 250 ms).
 constexpr Duration directTick = Milliseconds(50);
 
 // ---- orders to one engine
 
 struct EngineStateReport
 {
-    std::uint64_t born = 0; ///< Unix millisecond of the engine's start; 0: not told
-    bool leaving = false; ///< it takes no new calls
+    std::uint64_t born = 0; ///< start of the engine in Unix milliseconds; 0 if unknown
+    bool leaving = false; ///< accepts no new calls
     std::vector<std::string> models;
     std::vector<HeldAdapter> adapters;
-    std::vector<HeldAdapter> pending; ///< loads under way; they count toward the adapter slots
+    std::vector<HeldAdapter> pending; ///< loads in progress; they count toward the adapter slots
     bool busy = false; ///< an order on a model is in progress
     std::uint64_t sequence = 0; ///< orders accepted since the engine's start
     std::uint32_t running = 0;
@@ -534,20 +532,20 @@
     OrderHandle id;
     EngineOrderKind kind = EngineOrderKind::Load;
     std::string model;
-    std::string adapter; ///< empty: the model itself
-    std::uint64_t expected = 0; ///< the engine refuses the order if its sequence is another one by then
+    std::string adapter; ///< empty for the model itself
+    std::uint64_t expected = 0; ///< the engine refuses the order if its sequence differs
     std::uint64_t fence = 0;
     std::string endpointId;
 };
 
 enum class EngineOrderResult : std::uint8_t {
-    Accepted, ///< it is being carried out
+    Accepted, ///< in progress
     AlreadyHolds,
     Conflict, ///< another order is in progress, or the sequence differs
     FencedOff, ///< the engine has seen a higher fencing number
     OtherIncarnation,
     Rejected,
-    NoAnswer, ///< it may have been accepted, or may be later
+    NoAnswer, ///< may have been accepted, or may be later
     Count
 };
 template<>
@@ -557,11 +555,11 @@
         "accepted", "already_holds", "conflict", "fenced_off", "other_incarnation", "rejected", "no_answer"};
 };
 
-/// Keeps in one engine what the entries want there, within its slots and memory. The only one that orders this engine.
+/// Loads into one engine what the entries demand, within its slots and memory. Sends all orders to this engine.
 class AdapterKeeper
 {
 public:
-    /// `fence` grows with each start of the sidecar.
+    /// `fence` increases with each start of the sidecar.
     explicit AdapterKeeper(std::uint64_t fence, DirectPolicy policy = {});
     ~AdapterKeeper();
     AdapterKeeper(const AdapterKeeper &) = delete;
@@ -572,20 +570,20 @@
     void applyReport(const EngineStateReport &report, TimePoint now);
     void reportFailed(TimePoint now);
     void orderEnded(OrderHandle id, EngineOrderResult result, const std::string &incarnation, TimePoint now);
-    /// The next order, if one is due now. At most one is under way.
+    /// The next order, if one is due. At most one is in progress.
     std::optional<EngineOrder> nextOrder(TimePoint now);
-    /// An answer to an order that takes longer was lost: calls wait for the next one.
+    /// After this time the answer to an order counts as lost, and the next order may follow.
     Duration orderTimeout() const;
-    /// True while an order's effect has not been seen, so that the next report is wanted soon.
+    /// True until the effect of an order is reported, so that the next report is requested soon.
     bool waits() const;
-    /// What entries are to know; `sequence` and `interval_ms` are left to the caller.
+    /// State for the entries; the caller sets `sequence` and `interval_ms`.
     wire::DirectState state(TimePoint now) const;
     /// True if calls of this entry wait for an adapter.
     bool waitsFor(PeerHandle peer) const;
-    /// Changes whenever something changes that entries wait for.
+    /// Changes with everything that entries wait for.
     std::uint64_t revision() const;
-    /// What all entries together have under way at the engine or will send there, as tokens to be read; a load that is
-    /// waited for counts as some of them. Entries have to hear soon of much work that comes or goes.
+    /// Work of all entries in progress or planned at the engine, as prompt tokens; each demanded load counts as a
+    /// fixed number of them. Entries are notified soon of large changes.
     std::uint64_t pendingWork() const;
     const Counters<EngineOrderResult> &results() const;
 
@@ -594,16 +592,16 @@
     std::unique_ptr<Impl> impl_;
 };
 
-/// Chooses what each entry is told of an engine: the whole state where it lacks it, else a heartbeat with the figures
-/// that every call moves. Between many entries and engines nearly all messages are of the second kind.
+/// Selects the message for each entry: the whole state if the entry lacks it, otherwise a heartbeat with the load
+/// figures only.
 class StateNews
 {
 public:
-    /// The engine's state at present; `sequence` is set here.
+    /// Sets the current engine state, including its `sequence`.
     void update(const wire::DirectState &state);
     wire::Envelope messageFor(PeerHandle entry);
-    /// The entry has said which state it has, 0: none. One that was lost on the way is told again. An entry that has
-    /// never named one may be of a release that knows no heartbeats, and gets whole states.
+    /// The entry has reported which state it has, 0 for none; a lost state is sent again. Entries that never report
+    /// one do not support heartbeats and receive whole states.
     void entryHas(PeerHandle entry, std::uint64_t sequence);
     void entryLost(PeerHandle entry);
 
@@ -615,7 +613,7 @@
     };
 
     wire::DirectState state_;
-    std::string text_; // of the state without the figures that a heartbeat tells
+    std::string text_; // serialized state without the figures that heartbeats carry
     std::uint64_t sequence_ = 0;
     std::unordered_map<PeerHandle, Told> told_;
 };
--- a/src/direct/adapter_keeper.cpp
+++ b/src/direct/adapter_keeper.cpp
@@ -1,4 +1,4 @@
-// What one engine holds and what entries want of it, and what they are told in turn.
+// Demand and reported state of one engine, and the state sent to entries.
 #include "adapter_keeper_impl.h"
 
 #include <algorithm>
@@ -8,9 +8,9 @@
 
 namespace {
 
-// An accepted order shows in the engine's report within some milliseconds; after this long it is taken as lost.
+// After this time without an effect in the engine's report an accepted order counts as lost.
 constexpr Duration longestAwait = Milliseconds(1000);
-// Tokens that an engine reads while an adapter is loaded for which there is room, roughly.
+// Work of one adapter load into a free slot, as prompt tokens.
 constexpr std::uint64_t workOfLoad = 3000;
 
 std::uint32_t roundUp(double ms)
@@ -108,7 +108,7 @@
     if (restarted) {
         onRestart(now);
     }
-    // The awaited order shows once the report counts it.
+    // The report counts the order: its effect is visible.
     if (awaited && fresh.sequence > awaited->expected) {
         awaited.reset();
     }
@@ -130,11 +130,11 @@
     leavingId = fresh.leaving ? endpointId : "";
 }
 
-// The engine's process is another one than before, perhaps under the same id.
+// The engine runs as a new process, perhaps under the same id.
 void AdapterKeeper::Impl::onRestart(TimePoint now)
 {
     if (underWay) {
-        noteLost(*underWay, now); // its answer is of no use any more
+        noteLost(*underWay, now);
         underWay.reset();
     }
     awaited.reset();
--- a/src/direct/adapter_keeper_impl.h
+++ b/src/direct/adapter_keeper_impl.h
@@ -1,4 +1,4 @@
-// State of one engine's keeper.
+// Internal state of the controller of one engine.
 #pragma once
 
 #include "load_times.h"
@@ -13,37 +13,37 @@
     struct Wish
     {
         std::uint32_t waiting = 0;
-        std::uint32_t inTime = 0; // of the waiting ones; invariant: at most waiting
+        std::uint32_t inTime = 0; // number of waiting calls that can meet their objective; invariant: at most waiting
         std::uint32_t running = 0;
         std::uint32_t leastVersion = 0;
     };
     struct Use
     {
         TimePoint last{};
-        double rate = 0; // decayed starts
+        double rate = 0; // exponentially decayed number of started calls
     };
     struct LostLoad
     {
         std::uint64_t expected = 0;
         TimePoint sentAt{};
-        bool ofEarlierStart = false; // the engine has started again since
+        bool ofEarlierStart = false; // the engine has restarted since
     };
     struct PromptTokens
     {
-        std::uint64_t unread = 0; // under way at the engine
-        std::uint64_t waiting = 0; // to be sent once their adapters are loaded
+        std::uint64_t unread = 0; // in progress at the engine
+        std::uint64_t waiting = 0; // of calls waiting for their adapters
     };
 
-    // Demands of entries.
+    // Demand of entries.
     void applyDemand(PeerHandle peer, const wire::DirectDemand &demand, TimePoint now);
     void takeIncarnation(const std::string &id);
     void touch(const AdapterKey &key, std::uint32_t starts, TimePoint now);
     Wish wishFor(const AdapterKey &key) const;
-    /// Calls on it in the last seconds, rounded down to a power of two; 0 for few, which change too often to be told.
+    /// Recent calls, rounded down to a power of two; 0 for few, whose number changes too often to be reported.
     std::uint32_t recentCalls(const AdapterKey &key, TimePoint now) const;
     PromptTokens promptTokens() const;
 
-    // The engine as it reports itself.
+    // Reported engine state.
     void applyReport(const EngineStateReport &report, TimePoint now);
     void onRestart(TimePoint now);
     void noteLoads(const EngineStateReport &report, TimePoint now);
@@ -65,33 +65,33 @@
     std::size_t loadsAtOnce() const;
     Duration orderTimeout() const;
 
-    // What entries are told.
+    // State for the entries.
     wire::DirectState state(TimePoint now) const;
     void tellAdapters(wire::DirectState &state, TimePoint now) const;
-    /// Adapters that calls wait for and that are not on their way; whether one of the calls can be in time.
+    /// Adapters that calls wait for and that are not being loaded; true if one of the calls can meet its objective.
     std::map<AdapterKey, bool> awaitedAdapters() const;
     void tellLoadsAhead(wire::DirectState &state) const;
     void tellLoadTimes(wire::DirectState &state) const;
 
     DirectPolicy policy;
     std::uint64_t fence = 0;
-    std::string endpointId; // of the engine's present incarnation, as far as it is known
-    // The incarnation whose last report said that it leaves; its successor may be known before that has reported.
+    std::string endpointId; // of the engine's current incarnation, as far as known
+    // Incarnation whose last report said that it is leaving; its successor may be known before it has reported.
     std::string leavingId;
-    std::string rejectedId; // that the engine said not to be; no order is sent under it
-    std::string toldId; // what an entry said last
+    std::string rejectedId; // refused by the engine as another incarnation; no order is sent under it
+    std::string toldId; // last one named by an entry
     wire::EnginePlan plan;
-    std::map<PeerHandle, std::map<AdapterKey, Wish>> wishes; // what each entry said last
+    std::map<PeerHandle, std::map<AdapterKey, Wish>> wishes; // last demand of each entry
     std::map<PeerHandle, PromptTokens> prompts; // of each entry
     std::map<AdapterKey, Use> uses;
     std::optional<EngineStateReport> report;
     bool reachable = false;
     std::optional<EngineOrder> underWay; // invariant: no other order is sent meanwhile
-    TimePoint sentAt{}; // of the order that is under way
-    RecentSamples answerMs{32}; // of orders
-    std::optional<EngineOrder> awaited; // accepted, and no report has shown its effect yet
-    std::vector<LostLoad> lostLoads; // unanswered; the engine may carry them out seconds later
-    TimePoint notBefore{}; // after an order that failed
+    TimePoint sentAt{}; // of the pending order
+    RecentSamples answerMs{32}; // answer times of orders
+    std::optional<EngineOrder> awaited; // accepted, but not yet visible in a report
+    std::vector<LostLoad> lostLoads; // without an answer; the engine may apply them seconds later
+    TimePoint notBefore{}; // backoff after a failed order
     LoadTimes loads;
     std::uint64_t lastOrder = 0;
     std::uint64_t revision = 0;
--- a/src/direct/call_ends.cpp
+++ b/src/direct/call_ends.cpp
@@ -1,4 +1,4 @@
-// How attempts end and what follows: another attempt, the answer, or an error that is true of all that was tried.
+// Ends of attempts and of calls: retry, answer, refusal or abandonment.
 #include "direct_calls_impl.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A call that is sent with less than this left would be cut before its first byte.
+// A call sent with less time left would be cut off before its first byte.
 constexpr Duration leastTimeToSend = Milliseconds(30);
 
 } // namespace
@@ -28,7 +28,7 @@
     }
     const bool failed = result.end == AttemptEnd::Unreachable || result.end == AttemptEnd::Broken;
     impl.leaveEndpoint(handle, call, failed, now);
-    call.step = CallStep::Waiting; // of no endpoint, until the next decision
+    call.step = CallStep::Waiting; // at no endpoint until the next decision
     switch (result.end) {
     case AttemptEnd::Answered:
         impl.quarantine.answered(call.facts.fingerprint);
@@ -73,10 +73,11 @@
 void DirectCalls::Impl::onRefused(CallHandle handle, DirectCall &call, EndpointRefusal refusal, TimePoint now)
 {
     if (refusal == EndpointRefusal::OtherIncarnation && endpointOf(call) != nullptr) {
-        forgetEndpoint(*endpointOf(call), now); // another one has its address: the one meant is gone
+        forgetEndpoint(*endpointOf(call), now); // its address belongs to another incarnation
     }
     if (refusal == EndpointRefusal::NotLoaded) {
-        // The adapter has just gone, or is an older version: asked for again at once.
+        // The adapter was removed or has an older version: drops it from the known state, so that it is demanded
+        // again.
         if (auto *entry = endpointOf(call); entry != nullptr && entry->state) {
             auto &held = *entry->state->mutable_adapters();
             const auto name = call.adapterName();
--- a/src/direct/call_fingerprint.cpp
+++ b/src/direct/call_fingerprint.cpp
@@ -1,4 +1,4 @@
-// Names what a call asks for, so that repeats of one request are known again.
+// Fingerprints that identify repeats of a request.
 #include "anvilscale/direct.h"
 
 #include <array>
--- a/src/direct/call_learning.cpp
+++ b/src/direct/call_learning.cpp
@@ -1,4 +1,4 @@
-// What an entry learns from its calls, and what it makes of it: ranks, and its share of what may be sent once more.
+// Estimates learned from calls, call ranks and the entry's share of retries.
 #include "direct_calls_impl.h"
 
 #include <algorithm>
@@ -7,8 +7,7 @@
 
 namespace {
 
-// All entries together may send so much more than their share of calls; kept back for entries that have just started
-// and are not heard everywhere yet.
+// Usable share of the retry slack of all entries; the rest is reserved for entries that sidecars do not count yet.
 constexpr double slackUsed = 0.7;
 
 } // namespace
@@ -22,7 +21,7 @@
         return;
     }
     entry.countFirstByte(took, call.reading, now);
-    // Behind much other work the time says little of one prompt.
+    // With much other work ahead, the time does not show the reading speed of one prompt.
     const bool clear = call.tokensAhead <= call.freshTokens;
     if (clear && init.policy.has(Mechanism::LearnedReading)) {
         service.reading.add(call.tokensAhead + call.freshTokens, call.freshTokens, took);
@@ -39,8 +38,8 @@
     }
 }
 
-// Engines take up what is more urgent first. A call that would be late even at an idle engine gives way: callers who
-// can still be in time do not wait behind it.
+// Rank of the call at the engine, lower ranks first. A call that would be late even at an idle engine gets a higher
+// rank, so that calls that can meet their objective do not wait behind it.
 std::uint32_t DirectCalls::Impl::rankOf(const DirectCall &call, TimePoint now)
 {
     const auto alone = fromMilliseconds(learned[call.service].reading.aloneMs(call.unreadTokens));
@@ -48,7 +47,7 @@
     return call.priority + (late && init.policy.has(Mechanism::LateRank) ? init.policy.lateRank : 0);
 }
 
-// How many entries share the allowance is learned from the sidecars, which hear all of them.
+// Sidecars report how many entries share the allowance.
 void DirectCalls::Impl::shareRetries(TimePoint now)
 {
     std::uint32_t entries = 0;
--- a/src/direct/direct_calls.cpp
+++ b/src/direct/direct_calls.cpp
@@ -1,4 +1,4 @@
-// The life of a call at an entry: arrival, wait for its adapter, attempts, end.
+// Life cycle of a call at an entry: arrival, wait for its adapter, attempts, end.
 #include "direct_calls_impl.h"
 
 #include <algorithm>
@@ -8,15 +8,13 @@
 namespace {
 
 constexpr std::uint32_t notFound = 404;
-// Where the estimate is longer than this it is no longer a forecast of when there is room: things change within
-// seconds.
+// Upper bound: estimates beyond it do not predict when capacity is available.
 constexpr Duration longestRetryAfter = Seconds(2);
-// After its first configuration an entry waits this long for the sidecars to tell what their engines hold.
+// Time after the first configuration for sidecars to report what their engines hold.
 constexpr Duration sidecarsTime = Milliseconds(1500);
-// A waiting call is thought over after the time of so many loads, or one and a half times its estimate: another engine
-// may be faster by now, or the call hopeless.
+// A waiting call is placed again after the time of this many loads, or 1.5 times its estimate, whichever is longer.
 constexpr int loadsThought = 4;
-constexpr int waitsThought = 3; // halves of the estimate
+constexpr int waitsThought = 3; // in halves of the estimate
 
 void lower(std::uint32_t &count)
 {
@@ -62,7 +60,7 @@
 
 bool DirectCalls::applyConfig(const DirectConfig &config, TimePoint now)
 {
-    // A late or stale read must never bring an older configuration back.
+    // Prevents a late or stale read from restoring an older configuration.
     if (impl_->config && config.version <= impl_->config->version) {
         return false;
     }
@@ -169,8 +167,8 @@
     }
     call.endpointId = choice->endpointId;
     call.estimate = choice->firstByte;
-    // The answer would come after the caller has left: refused now, the caller can come back when there is room. A
-    // guess refuses nobody.
+    // Refuses at once if the answer would come after the caller has left, so that the caller can return when there is
+    // capacity. Only confirmed times count: a default value refuses no call.
     const bool refuses = init.policy.has(Mechanism::EarlyRefusal);
     if (refuses && now + choice->certain > call.firstByteBy) {
         const auto excess = choice->firstByte - call.objective;
@@ -231,8 +229,7 @@
     call.stepSince = now;
     call.began = false;
     ++call.attempt;
-    // The version is asked for where the operator has named one, so that an engine which still holds the last one
-    // refuses instead of running it.
+    // Requests the version published by the operator, so that an engine with an older one refuses the call.
     const auto query = queryFor(call, now);
     const auto named = query.leastVersion;
     call.version = named == 0 ? 0 : std::max(named, entry.heldVersion(name, now));
@@ -270,7 +267,7 @@
 {
     auto *entry = endpointOf(call);
     if (entry == nullptr) {
-        return; // it has gone in the meantime, and what was counted of it too
+        return; // the process has terminated, and its counters were reset
     }
     if (call.step == CallStep::Waiting) {
         stopWaiting(*entry, handle, call, now);
@@ -338,8 +335,8 @@
     return impl_->config.has_value();
 }
 
-// An entry that has just started does not know yet what the engines hold and would refuse calls that it could serve a
-// moment later. It is ready once half of the engines have told, or after a while: the rest may have no sidecar.
+// A new entry does not know yet what engines hold and would refuse calls that it could serve a moment later. It is
+// ready once half of the engines have reported, or after a timeout: the rest may have no sidecar.
 bool DirectCalls::ready(TimePoint now) const
 {
     if (!configured() || impl_->endpoints.all().empty()) {
--- a/src/direct/direct_waits.cpp
+++ b/src/direct/direct_waits.cpp
@@ -1,4 +1,4 @@
-// Calls that wait for an adapter, deadlines, and what the sidecars are told to load.
+// Waiting calls, deadlines, and the demand sent to sidecars.
 #include "direct_calls_impl.h"
 
 #include <algorithm>
@@ -8,18 +8,18 @@
 
 namespace {
 
-// So often a waiting call is asked whether there is still hope at its endpoint.
+// Interval at which a waiting call is checked against its deadline.
 constexpr Duration hopeInterval = Milliseconds(250);
-// A sidecar hears from each entry this often while calls are running, so that what it evicts is not in use.
+// Minimum interval between demands while calls are running, so that a sidecar evicts no adapter in use.
 constexpr Duration wishesInterval = Milliseconds(400);
-// Prompt tokens that engines have to read are told sooner, so that entries which know nothing of each other do not send
-// long prompts to one engine at the same time: 3,000 tokens take an engine some 80 ms.
+// Changes of unread prompt tokens are sent sooner, to keep independent entries from sending long prompts to the same
+// engine at the same time.
 constexpr double unreadStep = 3000;
 constexpr Duration unreadInterval = Milliseconds(15);
-// And this often at least, so that it knows the entry is there.
+// Maximum interval between demands, so that a sidecar knows that the entry is alive.
 constexpr Duration wishesKeepAlive = Milliseconds(2000);
 
-/// What an engine of the service can hold; nullptr for a plain service or one that is not configured.
+/// Returns the capacity of an engine of the service; nullptr for a plain or unknown service.
 const EngineLimits *engineOf(const std::optional<DirectConfig> &config, const std::string &name)
 {
     const auto *service = config ? config->service(name) : nullptr;
@@ -57,8 +57,7 @@
     }
 }
 
-// The adapter cannot come before the caller leaves. Told only when the caller's patience is over, the caller could not
-// come back in time.
+// True if the adapter cannot be loaded before the caller leaves. An early refusal leaves the caller time to return.
 bool DirectCalls::Impl::isHopeless(const DirectCall &call, TimePoint now)
 {
     const auto *entry = endpointOf(call);
@@ -176,11 +175,11 @@
         for (const auto &held : entry.state->adapters()) {
             const AdapterName name{held.model(), held.adapter()};
             if (held.version() < namedVersion(name)) {
-                wishFor(name); // a new version has been named: whatever is held has to be replaced
+                wishFor(name); // a newer version is published: the held one has to be replaced
             }
         }
         if (entry.state->models().empty()) {
-            // An engine that has restarted holds nothing. It is filled before calls need it.
+            // A restarted engine is empty: loads its model before calls need it.
             wishFor({favouriteModel(entry.record.service), ""}).set_waiting(1);
         }
     }
@@ -207,7 +206,7 @@
     auto demand = demandFor(entry, now);
     auto text = demand.SerializeAsString();
     entry.changed = text != sent.text;
-    // The sidecar must not unload an adapter on which a call has just been sent: it hears of the first one at once.
+    // A sidecar must not evict an adapter with a new call: the first call on an adapter is sent at once.
     const bool urgent = (!entry.waiting.empty() || entry.newlyRunning) && text != sent.text;
     const bool due = text != sent.text && now - sent.at >= wishesInterval;
     const bool moved = std::abs(entry.unreadTokens - entry.toldUnread) >= unreadStep && now - sent.at >= unreadInterval;
@@ -222,7 +221,7 @@
     entry.toldUnread = entry.unreadTokens;
     entry.toldWaiting = entry.waitingTokens;
     entry.newlyRunning = false;
-    entry.changed = !entry.startedOn.empty(); // what was told as started is not told again
+    entry.changed = !entry.startedOn.empty(); // the started calls were sent and must not be sent again
     sent.at = now;
     sent.text = std::move(text);
     entry.startedOn.clear();
@@ -237,7 +236,7 @@
     for (auto &[id, entry] : endpoints.all()) {
         const bool takesCalls = !entry.leaves(now) && !entry.superseded;
         if (takesCalls && engineOf(config, entry.record.service) != nullptr) {
-            entry.changed = entry.changed || !entry.waiting.empty(); // a waiting call becomes late by itself
+            entry.changed = entry.changed || !entry.waiting.empty(); // a waiting call becomes late with time alone
             tellSidecar(entry, now);
         }
     }
--- a/src/direct/endpoint_choice.cpp
+++ b/src/direct/endpoint_choice.cpp
@@ -1,4 +1,4 @@
-// The estimate that chooses an endpoint. All parts are in milliseconds.
+// Endpoint choice by estimated time to the first byte. All times are in milliseconds.
 #include "endpoint_choice.h"
 
 #include "wait_forecast.h"
@@ -9,22 +9,22 @@
 
 namespace {
 
-// A plain call's work where none has been measured yet, as a share of the time within which it should be answered.
+// Work of a plain call before any measurement, as a share of its objective.
 constexpr double plainShare = 0.2;
 
-// Engines among which a call whose adapter is absent seeks the one that is free soonest, besides its home.
+// Sampled engines for a call with an absent adapter, besides its home engine.
 constexpr std::ptrdiff_t drawnEngines = 8;
 
 struct Scored
 {
     const EndpointEntry *entry = nullptr;
     Presence presence = Presence::Resident;
-    double fresh = 0; // tokens of the prompt that are not kept there
-    double work = 0; // of reading them, in tokens of a short prompt
-    double ms = 0; // until the first byte
-    double readingMs = 0; // part of it, without the endpoint's slowness
-    std::pair<bool, std::uint64_t> draw{}; // the lowest are drawn: first those that are not avoided, then at random
-    double dislike = 0; // on top: what speaks against the endpoint without making a call late
+    double fresh = 0; // prompt tokens not cached there
+    double work = 0; // work of reading them, in tokens of a short prompt
+    double ms = 0; // estimated time to the first byte
+    double readingMs = 0; // part of it for reading prompts, without the endpoint's slowness
+    std::pair<bool, std::uint64_t> draw{}; // sampling order, lowest first: endpoints that are not avoided, then random
+    double dislike = 0; // penalty that does not make the call late
     double sum() const
     {
         return ms + dislike;
@@ -69,38 +69,37 @@
         ms += entry.silentFor(query.learned->silence(), now) ? policy.avoidedMs : 0;
     }
     if (policy.has(Mechanism::Unreachable)) {
-        // While only a silent engine was avoided, one that stopped with its VM got calls until some of them had waited
-        // for longer than nearly all others: they were read when it woke, after their callers had left.
+        // Avoids engines on stopped VMs at once: they would read the calls after resuming, when the callers have
+        // left.
         ms += entry.toldUnreachable(now) || entry.sidecarSilent(query.heard) ? policy.avoidedMs : 0;
     }
     return ms;
 }
 
-/// Where an adapter is held, and how often it is called.
+/// Number of engines that hold an adapter, and its call rate.
 struct Holders
 {
     std::uint32_t count = 0;
-    double recentCalls = 0; // at all of them, in the last seconds
+    double recentCalls = 0; // at all of them
 };
 
-/// The engines as the call's adapter stands to them.
+/// Engines with a special role for the call's adapter.
 struct Placement
 {
-    const EndpointEntry *keeper = nullptr; // where the shared parts of the prompt are most likely kept
-    const EndpointEntry *home = nullptr; // where all entries would load the adapter next
+    const EndpointEntry *keeper = nullptr; // most likely caches the shared parts of the prompt
+    const EndpointEntry *home = nullptr; // where all entries load the adapter next
     Holders holders;
 };
 
-// A load is paid for once, and serves all calls that come to the copy. While each call was to be worth a load of its
-// own, an adapter that half of the fleet had begun to ask for stayed in one or two engines, and its calls waited there
-// for seconds beside engines that had nothing to do.
+// A load is paid once and serves all calls of the copy. Prevents calls of a popular adapter from queueing at its few
+// holders while other engines are idle.
 double priceShare(const Holders &holders, const DirectPolicy &policy)
 {
     return policy.has(Mechanism::Popularity) ? 1 / (1 + holders.recentCalls / (holders.count + 1)) : 1;
 }
 
-// What a load costs the others; nothing where it is awaited already. While entries did not know what waits where, calls
-// on one absent adapter that came within a moment had it loaded into several engines: they load it at its home.
+// Cost of a load to other calls; none if the adapter is awaited there already. Prevents calls that arrive together
+// from loading one absent adapter into several engines.
 double loadPrice(const Scored &scored, const Placement &placement, const ChoiceQuery &query, const WaitForecast &wait,
                  TimePoint now)
 {
@@ -143,10 +142,8 @@
     return placement;
 }
 
-/// Leaves the engines that the adapter has to do with, and of the others a few that are drawn at random. What is known
-/// of the others is some tenths of a second old in each entry: while all of them chose the best of all, the calls of
-/// half a second went to the same few engines, and waited there for seconds. The best of some random ones is nearly as
-/// good and another one for each call; it also bounds the work of a choice in a large fleet.
+/// Keeps the engines that are related to the adapter, and a random sample of the others. Prevents entries with the
+/// same outdated state from sending all calls to the same engine, and bounds the work of a choice in a large fleet.
 void drawCandidates(std::vector<Scored> &list, const Placement &placement, const ChoiceQuery &query, TimePoint now)
 {
     if (!query.policy->has(Mechanism::Sampling)) {
@@ -186,11 +183,11 @@
         const double backlog = wait.backlogMs();
         const double own = query.learned->reading.aloneMs(scored.work);
         scored.readingMs = backlog + own;
-        // Shared parts may have been dropped, and long answers slow the reading: what own calls have met there counts.
+        // Own calls show the effect of evicted prefix caches and of long answers.
         const double slowness = query.policy->has(Mechanism::Slowness) ? entry.slownessNow(now) : 1;
         scored.ms = slowness * scored.readingMs;
         if (scored.presence != Presence::Resident) {
-            // The engine goes on reading while the adapter is loaded.
+            // The engine continues reading while the adapter is loaded.
             const double loading = wait.presenceMs(scored.presence);
             scored.ms = std::max(loading, slowness * backlog) + slowness * (wait.plannedMs() + own);
         }
@@ -221,7 +218,7 @@
     if (!query.learned->reading.measured()) {
         return fromMilliseconds(presence);
     }
-    // Without a measured load the whole rests on a guess.
+    // Without a measured load time the whole estimate rests on a default.
     const bool guessed = best.presence != Presence::Resident && query.learned->loadMs == 0;
     return guessed ? fromMilliseconds(std::max(presence, best.readingMs)) : whole;
 }
--- a/src/direct/endpoint_news.cpp
+++ b/src/direct/endpoint_news.cpp
@@ -1,4 +1,4 @@
-// News of endpoints: records of the store, states that sidecars tell, and what they mean for calls that wait there.
+// Updates of endpoints from the store, sidecars and answers, and their effect on waiting calls.
 #include "direct_calls_impl.h"
 
 #include <algorithm>
@@ -19,9 +19,8 @@
     return restarted || effect == RecordEffect::Changed;
 }
 
-// The endpoint's process has ended and another one has its id, so that no refusal tells the two apart. Calls that were
-// sent to the one before end with their connections; what they counted there is forgotten with it. Calls that wait for
-// an adapter there are thought over: the new process holds none.
+// A new process runs under the endpoint's id. Counters of calls sent to the old one are reset with it, and calls
+// waiting for an adapter there are placed again, since the new process holds none.
 void DirectCalls::Impl::onRestarted(EndpointEntry &entry, std::uint64_t born, TimePoint now)
 {
     const auto waiting = std::exchange(entry.waiting, {});
@@ -37,7 +36,7 @@
     }
 }
 
-// Calls that wait for an adapter there would do so until they are thought over, up to a second later.
+// Places waiting calls again at once, and not only at their next check.
 void DirectCalls::Impl::forgetEndpoint(EndpointEntry &entry, TimePoint now)
 {
     entry.record.leaving = true;
@@ -45,7 +44,7 @@
     endpoints.remove(std::string(entry.record.id), now);
 }
 
-// An endpoint that leaves or has crashed takes no new calls, also none that have waited there since before.
+// An endpoint that is leaving or has crashed gets no calls that already waited there.
 void DirectCalls::Impl::rerouteWaiting(EndpointEntry &entry, TimePoint now)
 {
     entry.waitingTokens = 0;
@@ -100,7 +99,7 @@
     if (entry == nullptr || entry->isOutdated(state)) {
         return;
     }
-    // The sidecar sees a restart before the store does.
+    // A sidecar may see a restart before the store does.
     const bool sameId = state.endpoint_id() == entry->record.id;
     if (sameId && entry->endedBefore(state.born())) {
         impl_->onRestarted(*entry, state.born(), now);
--- a/src/direct/endpoint_table.cpp
+++ b/src/direct/endpoint_table.cpp
@@ -1,4 +1,4 @@
-// Knowledge of endpoints, and how old it may be.
+// Endpoint records and states, and how long they count as current.
 #include "endpoint_table.h"
 
 #include <algorithm>
@@ -8,30 +8,30 @@
 
 namespace {
 
-// A sidecar is heard twice a second at least; three messages that are missed in a row mean that it is gone or cut off.
+// Sidecars send at least twice a second; three missed messages mean that the sidecar is gone or cut off.
 constexpr Duration stateLife = Milliseconds(1800);
-// Beyond a sidecar's interval its message may be late by half of that and so much more before it counts as silent.
+// Tolerated delay of a message beyond one and a half intervals.
 constexpr Duration lateMessage = Milliseconds(100);
-constexpr Duration usualInterval = Milliseconds(500); // of sidecars that do not tell it
-// A sidecar is connected to and has told its state within this time after its endpoint was first seen.
+constexpr Duration usualInterval = Milliseconds(500); // of sidecars that do not report theirs
+// Time to connect to a new endpoint's sidecar and receive its state.
 constexpr Duration firstStateTime = Milliseconds(1500);
-// Weight of the newest call in slowness, and how long it is believed without a new one: bursts last some seconds.
+// Weight of the newest call in slowness, and how long the value counts without a new one.
 constexpr double slownessWeight = 0.3;
 constexpr Duration slownessLife = Seconds(3);
 constexpr double mostSlowness = 6;
-constexpr Duration leastEstimate = Milliseconds(30); // below this the ratio says nothing
-// Adapters held before that are remembered where the sidecar has not learned yet how many copies its engine keeps.
+constexpr Duration leastEstimate = Milliseconds(30); // below this the ratio is not meaningful
+// Number of recently held adapters tracked until the sidecar reports how many copies its engine keeps.
 constexpr std::size_t mostRemembered = 512;
-// Weight of the newest call in failureShare: some twenty calls are remembered.
+// Weight of the newest call in failureShare.
 constexpr double failureWeight = 0.05;
-// After the first failure in a row an endpoint is avoided for this long, and twice as long after each further one.
+// Avoidance after the first consecutive failure; doubles with each further one.
 constexpr Duration firstAvoidance = Milliseconds(500);
 constexpr std::uint32_t mostDoublings = 3;
 
-// Platforms give an id again to a later process; where none tells its start, the departure counts for so long.
+// How long a removal counts for a record without a start time, whose id a later process may reuse.
 constexpr Duration departureLife = Seconds(60);
 
-/// The adapter's line of a sidecar's state, loaded or on its way; nullptr if there is none.
+/// Finds an adapter in a sidecar's state, loaded or loading; nullptr if absent.
 const wire::DirectAdapter *findAdapter(const wire::DirectState &state, const AdapterName &name, bool loading)
 {
     for (const auto &adapter : state.adapters()) {
@@ -42,7 +42,7 @@
     return nullptr;
 }
 
-/// By the starts of their processes; where one is not told, by when the records were created.
+/// Compares by process start times, or by record creation if one is unknown.
 bool isYounger(const EndpointRecord &a, const EndpointRecord &b)
 {
     const bool told = a.born != 0 && b.born != 0;
@@ -59,7 +59,7 @@
 bool EndpointEntry::sidecarSilent(TimePoint heard) const
 {
     if (!state) {
-        return false; // it is not connected: its process has ended, which says nothing of the engine
+        return false; // not connected: its process has terminated, which shows nothing about the engine
     }
     const Duration interval = state->interval_ms() == 0 ? usualInterval : Milliseconds(state->interval_ms());
     return heard - stateAt > interval + interval / 2 + lateMessage;
@@ -258,9 +258,9 @@
     if (record.born != 0 && record.born < entry.record.born) {
         return RecordEffect::Stale;
     }
-    const auto born = std::max(record.born, entry.record.born); // a record may not tell it
-    // Leaving is for good. A write that the endpoint sent while it was ready may be carried out seconds later, and
-    // would draw calls to it again; only a later process, which begins with startAnew, is ready once more.
+    const auto born = std::max(record.born, entry.record.born); // a record may lack it
+    // Leaving is final. A delayed write from before must not attract calls to the endpoint again; only a new process,
+    // which starts with resetProcess, is ready once more.
     const bool leaving = entry.record.leaving || record.leaving;
     const bool changed = entry.record.leaving != leaving;
     const bool moved = entry.record.address != record.address || entry.record.service != record.service
@@ -302,8 +302,8 @@
 }
 
 // After a crash of many endpoints the store holds records of both incarnations for some seconds. Calls sent to the
-// older ones would all be refused, and use up the retry budget. A record of a service that nobody has configured may be
-// written by anyone with any address: it hides nothing.
+// older ones would all be refused and use up the retry budget. Records of services that are not configured may have
+// any address and hide no endpoint.
 void EndpointTable::markSuperseded()
 {
     std::map<std::string, const EndpointEntry *> youngest; // by address
@@ -346,7 +346,7 @@
     return lastHeard_;
 }
 
-// A store that has lost its last changes may hold the record of before for a moment.
+// A store that has lost its last changes may return an older record for a moment.
 bool EndpointTable::hasDeparted(const EndpointRecord &record, TimePoint now) const
 {
     const auto found = departed_.find(record.id);
--- a/src/direct/endpoint_table.h
+++ b/src/direct/endpoint_table.h
@@ -1,4 +1,4 @@
-// What one entry knows of the endpoints: their own records, the states that sidecars tell, and what its own calls saw.
+// Endpoints as known to one entry: their records, the states from sidecars and the results of its own calls.
 #pragma once
 
 #include "anvilscale/direct.h"
@@ -15,86 +15,85 @@
     Count
 };
 
-/// What a record of an endpoint changes.
+/// Effect of applying an endpoint's record.
 enum class RecordEffect : std::uint8_t {
-    None, ///< nothing that decides where calls go
-    Changed, ///< it is new, or has begun to leave
-    Stale, ///< it speaks of a process that is over
+    None, ///< none on routing
+    Changed, ///< the endpoint is new, or has started to leave
+    Stale, ///< the record describes an earlier process
     Count
 };
 
-/// Everything here belongs to one start of the endpoint's process: another one under the same id begins anew.
+/// State of one process of an endpoint; reset when another process starts under the same id.
 struct EndpointEntry
 {
     EndpointRecord record;
-    std::uint64_t life = 0; // unique for each start that the table has seen; what calls count is of one life
+    std::uint64_t life = 0; // unique for each process; counters of calls belong to one generation
     TimePoint since{}; // when it was first seen
-    // A younger incarnation has its address: the record only has not been removed yet.
+    // A later incarnation has the same address, and this record has not been removed yet.
     bool superseded = false;
     std::uint32_t inFlight = 0; // own calls
     std::uint32_t unanswered = 0; // own calls without a first byte; invariant: at most inFlight
-    double unreadTokens = 0; // prompt tokens of the unanswered ones that the engine probably has to read
-    double slowness = 1; // measured over estimated time to the first byte, of the last own calls
+    double unreadTokens = 0; // prompt tokens that the engine probably has to read for them
+    double slowness = 1; // smoothed ratio of measured to estimated time to the first byte
     TimePoint slownessAt{};
-    TimePoint oldestSilence{}; // since when calls are unanswered without any byte from the endpoint
+    TimePoint oldestSilence{}; // time of the last byte while calls are unanswered
     TimePoint avoidUntil{};
-    bool saidLeaving = false; // by itself, in its record or with an answer; not: its record is gone
-    TimePoint pausedUntil{}; // it wants no calls of this entry up to then
+    bool saidLeaving = false; // reported in its record or with an answer; not set by a removal of its record
+    TimePoint pausedUntil{}; // accepts no calls of this entry until then
     std::uint32_t failuresInRow = 0;
-    double failureShare = 0; // decayed share of own calls that it failed
+    double failureShare = 0; // decayed share of own calls that failed
     std::optional<wire::DirectState> state;
     TimePoint stateAt{};
-    std::optional<TimePoint> emptySince; // the engine holds no model since then, as its sidecar told
-    double toldUnread = 0; // own unreadTokens as the sidecar was told last
+    std::optional<TimePoint> emptySince; // since when the engine holds no model, as reported by its sidecar
+    double toldUnread = 0; // own unreadTokens as last sent to the sidecar
     double waitingTokens = 0; // prompt tokens of own calls that wait for an adapter here
-    double toldWaiting = 0; // own waitingTokens as the sidecar was told last
+    double toldWaiting = 0; // own waitingTokens as last sent to the sidecar
     std::map<AdapterName, std::uint32_t> runningOn; // own calls by adapter
-    bool changed = true; // something of which the sidecar may have to be told
-    bool newlyRunning = false; // a call was sent on an adapter of which the sidecar has not been told
-    std::map<AdapterName, std::uint32_t> startedOn; // since the last wishes
+    bool changed = true; // the demand may differ from the one last sent
+    bool newlyRunning = false; // a call was sent on an adapter that the last demand does not list as running
+    std::map<AdapterName, std::uint32_t> startedOn; // since the last demand
     std::set<CallHandle> waiting; // own calls that wait for an adapter here
     std::map<AdapterName, std::uint32_t> waitingOn; // the same by adapter
-    // Adapters it has held, and when it was last seen with them: it loads these from its own memory.
+    // Adapters that the engine recently held, with the last time, and loads from its own memory.
     std::map<AdapterName, TimePoint> heldBefore;
 
     Presence presence(const AdapterName &name, std::uint32_t leastVersion, TimePoint now) const;
-    /// Version of a resident adapter, 0 if it is not known.
+    /// Version of a resident adapter; 0 if unknown.
     std::uint32_t heldVersion(const AdapterName &name, TimePoint now) const;
-    /// True if calls wait for it here, so that it will be loaded without any more of them.
+    /// True if calls already wait for this adapter here, so that it will be loaded anyway.
     bool awaits(const AdapterName &name, TimePoint now) const;
-    /// True if an older version is there with calls on it: it cannot be replaced before they end.
+    /// True if running calls hold an older version, which cannot be replaced before they end.
     bool heldByRuns(const AdapterName &name, TimePoint now) const;
-    /// Calls on it here in the last seconds, as the sidecar told; 0: few.
+    /// Recent calls of the adapter here, as reported by the sidecar; 0 for few.
     std::uint32_t recentCalls(const AdapterName &name, TimePoint now) const;
     bool hasModel(const std::string &model, TimePoint now) const;
     bool stateFresh(TimePoint now) const;
-    /// True if its sidecar has not been heard for longer than it leaves between two messages, while others were until
-    /// `heard`: the VM of both has probably stopped, long before anybody else can tell. Counted from the last message
-    /// of any sidecar and not by the clock: to an entry that was paused itself, all would seem silent but those that
-    /// it knows nothing of, which would get all its calls.
+    /// True if the sidecar has missed its interval while other sidecars sent messages until `lastReceivedAt`: its VM
+    /// has probably stopped. Compared with the last message of any sidecar and not with the clock, so that a paused
+    /// entry does not take all connected sidecars for silent.
     bool sidecarSilent(TimePoint heard) const;
-    /// True if the sidecar beside it cannot reach it: it has crashed, long before its record lapses in the store.
+    /// True if its sidecar reports that it cannot reach the engine; the record of a crashed engine lapses only later.
     bool toldUnreachable(TimePoint now) const;
-    /// True if it has said that it takes no new calls, in the store or to its sidecar: whichever is heard first.
+    /// True if its record or its sidecar reports that it accepts no new calls.
     bool leaves(TimePoint now) const;
-    /// True if it has said that it wants no calls of this entry for a while.
+    /// True if it has asked this entry to send no calls for a while.
     bool pauses(TimePoint now) const;
-    /// True if its sidecar has not told anything yet and probably will in a moment.
+    /// True if its sidecar has not sent a state yet, but probably will soon.
     bool stateExpected(TimePoint now) const;
-    /// True if the adapter is probably still in the engine's own memory, so that it loads without the weight store.
+    /// True if the engine probably still has a copy in its memory, so that it loads without the weight store.
     bool loadsFast(const AdapterName &name) const;
-    /// True if a process that was born then is a later one under the same id.
+    /// True if a process with this start time is a later one under the same id.
     bool endedBefore(std::uint64_t born) const;
-    /// True if the state speaks of a process before the one that is known.
+    /// True if the state describes an earlier process.
     bool isOutdated(const wire::DirectState &told) const;
     void applyState(const wire::DirectState &told, TimePoint now);
-    /// False if it follows a state that this entry does not have.
+    /// Returns false if the heartbeat is based on a state that this entry does not have.
     bool applyHeartbeat(const wire::DirectHeartbeat &heartbeat, TimePoint now);
-    /// The sidecar is gone. Nobody orders the engine any more, so that what it held last is what it holds.
+    /// The sidecar is disconnected: the engine gets no orders, so it keeps what it last held.
     void forgetSidecar();
-    /// True if it holds unanswered calls and has sent nothing for `span`.
+    /// True if it has unanswered calls and has sent nothing for `span`.
     bool silentFor(Duration span, TimePoint now) const;
-    /// How much slower than estimated it reads prompts at present; at least 1.
+    /// Current ratio of measured to estimated reading time; at least 1.
     double slownessNow(TimePoint now) const;
     void countFirstByte(Duration took, Duration estimated, TimePoint now);
     void countByte(TimePoint now);
@@ -104,19 +103,19 @@
 class EndpointTable
 {
 public:
-    /// Of the process that is known under this id, or of one under a new id; startAnew goes before.
+    /// Applies a record of the known process, or of one under a new id. A later process needs resetProcess first.
     RecordEffect put(const EndpointRecord &record, TimePoint now);
-    /// The endpoint's process has started again under its id: what was known of the one before is forgotten.
+    /// Resets the entry for a new process under the same id.
     void startAnew(EndpointEntry &entry, std::uint64_t born, TimePoint now);
-    /// Records of services that are not configured name no endpoint, and take no address from one.
+    /// Ignores the addresses of records whose service is not configured.
     void nameServices(std::set<std::string> services);
-    /// The entry, to be told of before it goes; nullptr if it is not known.
+    /// Returns nullptr if the id is unknown.
     EndpointEntry *find(const std::string &id);
     EndpointEntry *findByAddress(const std::string &address);
-    /// A message of some sidecar has come.
+    /// Records the time of a message from any sidecar.
     void noteHeard(TimePoint now);
     TimePoint lastHeard() const;
-    /// One that has said that it leaves is not taken for ready should its record come back.
+    /// An endpoint that was leaving still counts as leaving if its record reappears.
     void remove(const std::string &id, TimePoint now);
     std::map<std::string, EndpointEntry> &all();
     const std::map<std::string, EndpointEntry> &all() const;
@@ -133,8 +132,8 @@
     void markSuperseded();
 
     std::map<std::string, EndpointEntry> byId_;
-    std::optional<std::set<std::string>> services_; // none: no configuration yet
-    std::map<std::string, Departure> departed_; // endpoints that had said that they leave and were removed, by id
+    std::optional<std::set<std::string>> services_; // empty without a configuration
+    std::map<std::string, Departure> departed_; // endpoints that were removed while leaving, by id
     std::uint64_t lastLife_ = 0;
     TimePoint lastHeard_{};
 };
--- a/src/direct/estimates.cpp
+++ b/src/direct/estimates.cpp
@@ -1,4 +1,4 @@
-// Robust fits of few parameters to the last samples.
+// Robust estimators of a few parameters over recent samples.
 #include "estimates.h"
 
 #include <algorithm>
@@ -9,21 +9,21 @@
 
 namespace {
 
-constexpr std::size_t refreshes = 8; // of the sorted copy, while all samples are replaced once
+constexpr std::size_t refreshes = 8; // sorts per full replacement of the samples
 
-// Of ReadingSpeed.
+// ReadingSpeed.
 constexpr std::size_t fitSamples = 64;
 constexpr std::size_t leastSamples = 16;
 constexpr std::size_t fitEvery = 8;
-constexpr double leastGap = 100; // tokens between two samples whose difference says something
-constexpr double longFactor = 6; // a prompt of so many times the usual length shows how the time a token grows
-constexpr double alone = 0.8; // of what was read belongs to the prompt itself
+constexpr double leastGap = 100; // minimum difference in tokens between two samples of a slope
+constexpr double longFactor = 6; // ratio to the median length from which prompts show the growth
+constexpr double alone = 0.8; // minimum share of the prompt's own tokens among those read
 constexpr std::size_t growthSamples = 16;
 constexpr double mostGrowth = 1e-3;
-// Until measured: an engine of the middle class. It orders endpoints, and no caller is refused by it.
+// Used until measured; orders endpoints, but refuses no call.
 constexpr double guessedMsPerToken = 1.0 / 20;
 
-// Of ServiceEstimates.
+// ServiceEstimates.
 constexpr std::size_t leastForSilence = 32;
 constexpr double silenceQuantile = 0.95;
 constexpr double silenceFactor = 4;
@@ -124,8 +124,8 @@
     return median(lengths);
 }
 
-// The slope is the median of the slopes between short and long prompts: a sample that met a busy engine, or parts that
-// were not kept, is outvoted. The base is the median of what the slope leaves.
+// The slope is the median of the slopes between short and long prompts, which is robust against busy engines and
+// missing cached parts. The base is the median of the residuals.
 void ReadingSpeed::fit()
 {
     auto sorted = samples_;
@@ -180,7 +180,7 @@
     return baseMs_ + work * msPerToken_;
 }
 
-// Each token is also compared with all before it.
+// Attention makes each token depend on all preceding ones.
 double ReadingSpeed::work(double fresh, double kept) const
 {
     return fresh + growth_ * fresh * (kept + fresh / 2);
--- a/src/direct/estimates.h
+++ b/src/direct/estimates.h
@@ -1,5 +1,4 @@
-// Properties of a deployment that nobody declares, learned from what calls took. Robust against single wrong samples,
-// bounded in memory, and worth little until measured: who decides on them asks whether they are.
+// Properties of a deployment, learned from calls. Robust against outliers and bounded in memory.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -17,10 +16,10 @@
     return Duration(static_cast<std::int64_t>(ms * 1000));
 }
 
-/// Adapters that may be in transit to one engine at the same time; the engine's own limit.
+/// Limit of an engine on concurrent adapter loads.
 constexpr std::uint32_t engineLoadsAtOnce = 4;
 
-/// Quantiles of the last samples. Half of the samples may be wrong without moving the median out of the good ones.
+/// Quantiles of the most recent samples.
 class RecentSamples
 {
 public:
@@ -35,25 +34,25 @@
     void refresh();
 
     std::size_t most_;
-    std::size_t next_ = 0; // where the oldest sample stands once all places are taken
-    std::vector<double> ring_; // invariant: at most most_
-    std::vector<double> sorted_; // of some samples ago, so that a decision does not sort
-    std::size_t unsorted_ = 0; // samples since
+    std::size_t next_ = 0; // index of the oldest sample once the ring is full
+    std::vector<double> ring_; // invariant: at most capacity_ samples
+    std::vector<double> sorted_; // sorted copy, refreshed only every few samples
+    std::size_t unsorted_ = 0; // samples added since the last sort
 };
 
-/// How long an engine takes until a prompt's first token: a base, and a time a token that grows with the prompt.
+/// Time to the first token of a prompt: a base, and a time per token that grows with the prompt length.
 class ReadingSpeed
 {
 public:
     ReadingSpeed();
-    /// `tokens` were read until the first byte; `ownTokens` of them belong to one prompt.
+    /// Adds a sample: `tokens` were read until the first byte, `ownTokens` of them for one prompt.
     void add(double tokens, double ownTokens, Duration took);
     bool measured() const;
     double baseMs() const;
     double msPerToken() const;
-    /// Until the first byte of a prompt of so much work at an engine that does nothing else.
+    /// Time in ms to the first byte of a prompt of this much work at an idle engine.
     double aloneMs(double work) const;
-    /// Work of reading `fresh` tokens behind `kept` ones that need not be read, as tokens of a short prompt.
+    /// Work of reading `uncached` tokens after `cached` ones, in tokens of a short prompt.
     double work(double fresh, double kept) const;
 
 private:
@@ -69,23 +68,23 @@
     std::vector<Sample> samples_; // ring
     std::size_t next_ = 0;
     std::size_t added_ = 0;
-    RecentSamples growths_; // of long prompts
+    RecentSamples growths_; // samples from long prompts
     double baseMs_ = 0;
     double msPerToken_;
-    double growth_ = 0; // further share of the work of a token for each token before it
+    double growth_ = 0; // additional share of the work of a token per preceding token
     bool measured_ = false;
 };
 
-/// What an entry has learned of the endpoints of one service together. The differences of single endpoints are theirs.
+/// Estimates for all endpoints of one service; differences between endpoints are kept in EndpointEntry.
 struct ServiceEstimates
 {
     ReadingSpeed reading; // engines
-    RecentSamples runMs{64}; // engines: how long a call holds its place
-    RecentSamples plainMs{64}; // plain endpoints: work of a call that met no other of this entry
+    RecentSamples runMs{64}; // engines: how long a call occupies its slot
+    RecentSamples plainMs{64}; // plain endpoints: duration of calls without other calls of this entry
     RecentSamples firstByteMs{128};
-    double loadMs = 0; // of an adapter from the weight store, as some sidecar told last; 0: none has yet
+    double loadMs = 0; // adapter load from the weight store, as last reported by a sidecar; 0 if unknown
 
-    /// After this long without a byte an endpoint that has calls to answer is doubted.
+    /// Time without a byte after which an endpoint with unanswered calls counts as silent.
     Duration silence() const;
 };
 
--- a/src/direct/keeper_orders.cpp
+++ b/src/direct/keeper_orders.cpp
@@ -1,4 +1,4 @@
-// Which order an engine gets next: one at a time, within its slots and memory, and never on an adapter in use.
+// Selects the next order of an engine: one at a time, within its slots and memory, and never on an adapter in use.
 #include "adapter_keeper_impl.h"
 
 #include <algorithm>
@@ -11,22 +11,22 @@
 
 constexpr Duration afterConflict = Milliseconds(30);
 constexpr Duration afterRejection = Milliseconds(500);
-// Half-life of an adapter's use, against the seconds in which popularity shifts.
+// Half-life of an adapter's call rate; popularity shifts within seconds.
 constexpr double useHalfLifeSeconds = 6.0;
-constexpr double leastToldCalls = 4; // of an adapter, before entries hear of its use
-// Adapters whose use is remembered: a sidecar lives for months and sees tens of thousands of them.
+constexpr double leastToldCalls = 4; // minimum call rate of an adapter that is reported to entries
+// Maximum number of tracked adapters; bounds the memory of a sidecar that runs for months.
 constexpr std::size_t mostUses = 4096;
-constexpr Duration useLife = Seconds(60); // a use of before counts for less than a thousandth
-// An adapter just loaded is kept for its first call: the news of the load takes some milliseconds to the entries.
+constexpr Duration useLife = Seconds(60); // older calls contribute less than a thousandth
+// Keeps a newly loaded adapter until entries have received its state and sent the first call.
 constexpr Duration settleTime = Milliseconds(300);
-// Raised by more than any step of a clock, for an engine that knows a higher number from an earlier start.
+// Larger than any clock step, for an engine that has seen a higher number from an earlier start.
 constexpr std::uint64_t fenceStep = 60'000;
-// The platform carries an unanswered order out seconds later, without a bound. Longer than any that was seen.
+// How long an unanswered order may still be applied by the engine.
 constexpr Duration lostOrderLife = Seconds(30);
-// An order's answer that takes so many times as long as nearly all others was lost.
+// Ratio to the usual answer time from which an answer counts as lost.
 constexpr double lostAfter = 8;
-constexpr Duration shortestOrderTime = Milliseconds(15); // a process that shares its core may be held up so long
-constexpr Duration longestOrderTime = Milliseconds(80); // until answers have been seen
+constexpr Duration shortestOrderTime = Milliseconds(15); // covers scheduling delays of the process
+constexpr Duration longestOrderTime = Milliseconds(80); // also used until enough answers are measured
 constexpr std::size_t leastAnswers = 8;
 
 double decayed(double rate, TimePoint since, TimePoint now)
@@ -67,8 +67,8 @@
     return order;
 }
 
-// The adapter that is worth least: nobody runs or waits for it, and it is asked for most rarely. One with a run is
-// never taken: the engine would wait for the run's end and refuse all other orders meanwhile, for seconds.
+// Selects the least used adapter that has no running or waiting calls. One in use is never evicted: the engine would
+// wait for its calls to end and refuse all other orders meanwhile.
 std::optional<AdapterKeeper::Impl::AdapterKey> AdapterKeeper::Impl::victim(TimePoint now) const
 {
     std::optional<AdapterKey> worst;
@@ -90,15 +90,15 @@
     return worst;
 }
 
-// All loads of the fleet share the store's bandwidth: where it is short, more of them side by side end no earlier, and
-// what is wanted most waits behind what came first.
+// All loads share the bandwidth of the weight store. Where it is short, more concurrent loads finish no earlier and
+// delay the most urgent ones.
 std::size_t AdapterKeeper::Impl::loadsAtOnce() const
 {
     return policy.has(Mechanism::LoadWindow) ? loads.window() : engineLoadsAtOnce;
 }
 
-// An order is only accepted or not, which the engine on the same VM says within milliseconds. While each lost answer
-// was waited for 80 ms, adapters came that much later on days when a third of the answers is lost.
+// The engine on the same VM answers an order within milliseconds. A short timeout keeps loads from being delayed by
+// lost answers.
 Duration AdapterKeeper::Impl::orderTimeout() const
 {
     if (answerMs.count() < leastAnswers || !policy.has(Mechanism::LearnedOrders)) {
@@ -129,8 +129,8 @@
         return std::nullopt;
     }
     if (present != nullptr) {
-        // A newer version takes its slot. The engine would wait for the runs on the old one and take no other order
-        // until they end, so it is left alone while there are any: calls for the new version find another engine.
+        // A newer version replaces the old one in its slot. The engine would wait for running calls on the old
+        // version and accept no other order, so that nothing is ordered while there are any.
         return wish.running == 0 ? std::optional(makeOrder(EngineOrderKind::Load, key)) : std::nullopt;
     }
     if (wish.waiting == 0) {
@@ -155,8 +155,8 @@
     if (!known || underWay || awaited || now < notBefore) {
         return std::nullopt;
     }
-    // What lets most calls be in time comes first: a call that is late already loses little by a longer wait, while one
-    // that is loaded for behind it would become late too. Among the rest, what most calls wait for.
+    // Loads adapters first that let the most calls meet their objective: late calls lose little by a longer wait and
+    // would make others late. Ties are broken by the number of waiting calls.
     std::map<AdapterKey, Wish> wanted;
     for (const auto &[peer, ofPeer] : wishes) {
         for (const auto &[key, wish] : ofPeer) {
@@ -201,19 +201,20 @@
         notBefore = now + afterConflict;
         return;
     case EngineOrderResult::FencedOff:
-        // Only this VM orders its engine, so the higher number is of an earlier start with another clock.
+        // Only this VM orders its engine, so the higher number is from an earlier start with another clock.
         fence += fenceStep;
         return;
     case EngineOrderResult::OtherIncarnation:
-        // The engine has restarted. It does not always name its new incarnation; the entries learn it from the store.
+        // The engine has restarted. If the answer does not name its new incarnation, the entries report it from the
+        // store.
         rejectedId = order.endpointId;
         takeIncarnation(incarnation.empty() ? toldId : incarnation);
         notBefore = now + afterConflict;
         return;
     case EngineOrderResult::NoAnswer:
         noteLost(order, now);
-        // It may still be carried out, even seconds later. The next order goes out at once and expects the same
-        // sequence: whichever comes first moves the sequence on, and the engine refuses the other.
+        // The order may still be applied seconds later. The next one follows at once with the same expected sequence,
+        // so that the engine accepts only one of them.
         return;
     case EngineOrderResult::Rejected:
     case EngineOrderResult::Count:
@@ -244,9 +245,9 @@
     }
 }
 
-// Within one start of the engine a lost order is harmless: the next order expects the same sequence, so that the engine
-// takes only one of them. After a restart the sequence counts from zero and comes by the lost order's number again. If
-// the engine were full just then, it would be ordered to hold more than it can, and crash: a slot stays free there.
+// True if a lost load from before a restart could be accepted after the next order. Within one incarnation the
+// expected sequence excludes this, but after a restart the sequence reaches the same number again. One slot stays
+// free then, which prevents overloading and crashing a full engine.
 bool AdapterKeeper::Impl::lateLoadMayFollow(TimePoint now) const
 {
     return std::any_of(lostLoads.begin(), lostLoads.end(), [&](const LostLoad &lost) {
--- a/src/direct/load_times.cpp
+++ b/src/direct/load_times.cpp
@@ -1,4 +1,4 @@
-// Learning from loads. No constant here is a property of an engine: each is a ratio, or a bound of the platform.
+// Load time estimation. Constants are ratios or bounds of the platform, not properties of an engine.
 #include "load_times.h"
 
 #include <algorithm>
@@ -10,21 +10,19 @@
 constexpr std::size_t usualSamples = 48;
 constexpr std::size_t recentSamples = 6;
 constexpr std::size_t copySamples = 24;
-// Loads of an idle store take this quantile: busy times make single ones longer, none shorter.
+// Quantile of the load times that represents an idle store; congestion only makes loads longer.
 constexpr double idleQuantile = 0.1;
-// An adapter that is kept loads ten times as fast; the report that shows it may come later.
+// Ratio to the usual load time below which a load counts as one from a copy.
 constexpr double copyShare = 0.5;
-// The store is shared by all engines. Up to here a load is as fast as it can be; from the second ratio on, further ones
-// only make all slower.
+// Ratios to the usual load time: up to the first the store is idle, beyond the second it is overloaded.
 constexpr double fullSpeed = 1.25;
 constexpr double overloaded = 1.6;
 constexpr double narrowing = 0.7;
 constexpr std::size_t leastToNarrow = 4;
-// All sidecars start together, and each may be one of many: with all places taken at once the store was asked for nine
-// times what it carries, and no load showed how fast it can be.
+// Sidecars that start together must not overload the store: the initial samples have to show its full speed.
 constexpr double firstWindow = 1;
-constexpr std::size_t mostRemembered = 512; // adapters held before
-constexpr double copiesWeight = 0.25; // of a load that shows another number of copies
+constexpr std::size_t mostRemembered = 512; // adapters
+constexpr double copiesWeight = 0.25; // weight of a load that contradicts the estimate
 
 } // namespace
 
@@ -41,7 +39,7 @@
     Load load;
     load.since = now;
     const auto known = held_.find(name);
-    // A newer version is another adapter to the engine: no copy of it is there.
+    // A newer version has no copy in the engine.
     load.heldBefore = known != held_.end() && (version == 0 || version == known->second.version);
     if (load.heldBefore) {
         load.heldAgo = static_cast<std::size_t>(std::distance(order_.begin(), known->second.place));
@@ -93,7 +91,7 @@
     store_.add(ms);
     recentStore_.add(ms);
     if (ms <= fullSpeed * usualMs()) {
-        // Fast until the store has once shown that it is short, then with care.
+        // Grows fast until the store was overloaded once, then slowly.
         window_ = std::min<double>(engineLoadsAtOnce, window_ + (narrowedAt_ == TimePoint{} ? 1 : 1 / window_));
     }
     narrowIfSlow(ms, now);
@@ -102,7 +100,7 @@
 void LoadTimes::narrowIfSlow(double ms, TimePoint now)
 {
     const bool slow = store_.count() >= leastToNarrow && ms > overloaded * usualMs();
-    // Loads that went on side by side show the same slowness only once.
+    // Concurrent loads show the same overload only once.
     if (slow && milliseconds(now - narrowedAt_) > ms) {
         window_ = std::max(1.0, window_ * narrowing);
         narrowedAt_ = now;
--- a/src/direct/load_times.h
+++ b/src/direct/load_times.h
@@ -1,5 +1,5 @@
-// What a sidecar learns from the loads into its engine: how long an adapter takes, from the weight store and from the
-// engine's own copies, how many copies it keeps, and how many loads may go on side by side.
+// Load times of one engine as learned by its sidecar: from the weight store, from local copies, and how many loads
+// may run concurrently.
 #pragma once
 
 #include "estimates.h"
@@ -17,40 +17,40 @@
     using Name = std::pair<std::string, std::string>; // model, adapter
 
     LoadTimes();
-    /// An order to load it was accepted.
+    /// An order to load the adapter was accepted.
     void began(const Name &name, std::uint32_t version, TimePoint now);
-    /// It is in the engine now.
+    /// The engine holds the adapter now.
     void ended(const Name &name, std::uint32_t version, TimePoint now);
-    /// All adapters that the engine holds, as it reports them.
+    /// Records all adapters that the engine reports as held.
     void seenHeld(const std::vector<HeldAdapter> &held);
     void modelBegan(TimePoint now);
     void modelEnded(TimePoint now);
-    /// The engine has started again and keeps no copies of adapters. What was learned of times stays.
+    /// The engine has restarted without copies of adapters. Learned times are kept.
     void engineRestarted();
-    /// Some load is on its way for longer than usual: the store is asked for more than it carries.
+    /// Narrows the window if a load takes longer than usual, which shows that the store is overloaded.
     void checkOverdue(TimePoint now);
 
-    /// From the weight store while it is not busy; 0: none was seen.
+    /// Load time in ms from an idle weight store; 0 without samples.
     double usualMs() const;
-    /// From the weight store lately.
+    /// Recent load time in ms from the weight store.
     double recentMs() const;
     double copyMs() const;
     double modelMs() const;
-    /// Adapters held before that still load from a copy, counted from the last held; 0: not known.
+    /// Number of most recently held adapters that load from a copy; 0 if unknown.
     std::size_t copies() const;
-    /// Loads that may go on at the same time.
+    /// Maximum number of concurrent loads.
     std::size_t window() const;
 
 private:
     struct Load
     {
         TimePoint since{};
-        std::size_t heldAgo = 0; // adapters held since it was held itself
+        std::size_t heldAgo = 0; // number of adapters held more recently
         bool heldBefore = false;
     };
     struct Held
     {
-        std::list<Name>::iterator place; // in order_
+        std::list<Name>::iterator place; // in byRecency_
         std::uint32_t version = 0;
     };
     void noteStoreLoad(double ms, TimePoint now);
@@ -64,9 +64,9 @@
     double modelMs_ = 0;
     std::optional<TimePoint> modelSince_;
     std::map<Name, Load> underWay_;
-    std::list<Name> order_; // adapters that the engine has held, the last held first; bounded
+    std::list<Name> order_; // adapters that the engine has held, most recent first; bounded
     std::map<Name, Held> held_; // the same by name
-    double copies_ = 0; // 0: nothing seen that bounds it
+    double copies_ = 0; // 0 until a load shows a limit
     double window_;
     TimePoint narrowedAt_{};
 };
--- a/src/direct/mechanisms.cpp
+++ b/src/direct/mechanisms.cpp
@@ -1,4 +1,4 @@
-// Names of mechanisms, as they stand in settings.
+// Parsing of mechanism names from settings.
 #include "anvilscale/direct.h"
 
 namespace anvilscale {
--- a/src/direct/request_quarantine.cpp
+++ b/src/direct/request_quarantine.cpp
@@ -1,4 +1,4 @@
-// Counts crashes by request.
+// Counts crashed endpoints by request.
 #include "request_quarantine.h"
 
 #include <algorithm>
@@ -83,7 +83,7 @@
     }
 }
 
-/// Drops a half: first those with the fewest crashes, and of these the oldest.
+/// Evicts half of the suspects: those with the fewest crashes first, and of these the oldest.
 void RequestQuarantine::makeRoom()
 {
     using Item = std::pair<std::pair<std::size_t, TimePoint>, CallFingerprint>;
--- a/src/direct/request_quarantine.h
+++ b/src/direct/request_quarantine.h
@@ -1,5 +1,4 @@
-// Requests that crash the endpoints that run them: counted by the endpoints that ended under them, and refused from a
-// bound on.
+// Quarantine of requests that crash the endpoints running them.
 #pragma once
 
 #include "anvilscale/direct.h"
@@ -8,35 +7,35 @@
 
 namespace anvilscale {
 
-/// A request that crashes endpoints comes again under a new request id, at any entry, and would end one endpoint after
-/// the other. At each crash all calls that were under way are suspects; the one that did it is the one at every crash.
-/// Entries share what they saw as crash reports. A request that was answered with success is no suspect.
+/// Counts crashed endpoints per request and quarantines a request from a threshold on. Prevents a request that is
+/// repeated under new ids from crashing one endpoint after another. All calls in progress at a crash are suspects;
+/// entries share them as crash reports. A request that was answered successfully is no suspect.
 class RequestQuarantine
 {
 public:
-    /// The endpoint broke the call off: it may have crashed under it.
+    /// The endpoint broke off a call with this request: it may have crashed.
     void brokenOff(CallFingerprint request, const std::string &endpointId, std::uint64_t born, TimePoint now);
-    /// An endpoint has answered it with success.
+    /// An endpoint has answered the request successfully.
     void answered(CallFingerprint request);
-    /// Another entry's calls, or this one's as the store tells them back.
+    /// Applies the report of any entry, including this one.
     void apply(const CrashReport &report, TimePoint now);
-    /// True if the request is to be sent to no endpoint any more.
+    /// True if the request must not be sent to any endpoint.
     bool holds(CallFingerprint request, TimePoint now) const;
-    /// What this entry has seen since the last time, a report for each endpoint.
+    /// Crashes seen by this entry since the last call, one report per endpoint.
     std::vector<CrashReport> takeReports();
-    /// Requests that have come under quarantine since the last time.
+    /// Requests put under quarantine since the last call.
     std::vector<CallFingerprint> takeNewlyHeld();
 
 private:
-    // Retries of one innocent request meet a second crash now and then, a third one hardly ever.
+    // Repeats of an innocent request may be in progress at two crashes, but hardly at three.
     static constexpr std::size_t crashesToHold = 3;
     static constexpr std::size_t mostSuspects = 8192;
     static constexpr std::size_t answeredSlots = 1024;
 
     struct Suspect
     {
-        std::vector<std::uint64_t> crashes; // hashes of the endpoints' processes that ended under it, each once
-        TimePoint last; // crash
+        std::vector<std::uint64_t> crashes; // hashes of the crashed processes, each once
+        TimePoint last;
     };
 
     static std::uint64_t processHash(const std::string &endpointId, std::uint64_t born);
@@ -45,11 +44,10 @@
     void makeRoom();
 
     std::map<CallFingerprint, Suspect> suspects_;
-    // Requests that were answered with success lately, by a part of their fingerprint. What many callers ask for is
-    // under way at every crash; it must not come under quarantine for that. Fingerprint 0, of calls that have none,
-    // counts as such a request.
+    // Recently answered requests, slotted by fingerprint. A frequent request is in progress at every crash and must
+    // not come under quarantine. Fingerprint 0, of calls without one, counts as answered.
     std::array<CallFingerprint, answeredSlots> answered_{};
-    std::map<std::pair<std::string, std::uint64_t>, std::vector<CallFingerprint>> unreported_; // by id and birth
+    std::map<std::pair<std::string, std::uint64_t>, std::vector<CallFingerprint>> unreported_; // by id and start time
     std::vector<CallFingerprint> newlyHeld_;
 };
 
--- a/src/direct/retry_allowance.h
+++ b/src/direct/retry_allowance.h
@@ -1,25 +1,24 @@
-// How many calls of a service an entry may send once more: a share of its calls, in any span of time.
+// Retry budget of one service at one entry.
 #pragma once
 
 #include <algorithm>
 
 namespace anvilscale {
 
-/// The users bound what all entries together send once more over any span of some seconds. Counted over spans of our
-/// own, a burst of failures could spend the allowance of half a minute within ten seconds, and of two spans at their
-/// border. Here each call earns its share, and little can be saved up.
+/// Limits retries to a share of the calls. Each call earns its share and little can be saved, which bounds retries in
+/// any period of a few seconds; fixed periods would allow bursts, twice the budget at their boundaries.
 class RetryAllowance
 {
 public:
-    // Where no slack is configured: a lone failure may be repeated.
+    // Used if no slack is configured: allows repeating a single failed call.
     static constexpr double leastSaved = 3;
 
-    /// `mostSaved` is this entry's part of what all entries may send beyond the ratio.
+    /// Earns the share of one first attempt. `maxBalance` is this entry's part of the retries beyond the ratio.
     void countFirst(double ratio, double mostSaved)
     {
         saved_ = std::min(mostSaved, saved_ + ratio);
     }
-    /// Takes one, or says that none is left.
+    /// Takes one retry; returns false if none is left.
     bool take()
     {
         if (saved_ < 1) {
@@ -30,8 +29,8 @@
     }
 
 private:
-    // An entry starts with little: many that start again at the same moment would else spend the slack twice.
-    double saved_ = 1; // invariant: at most mostSaved
+    // Starts low, so that many entries restarting together do not spend the slack twice.
+    double saved_ = 1; // invariant: at most maxBalance
 };
 
 } // namespace anvilscale
--- a/src/direct/route_table.cpp
+++ b/src/direct/route_table.cpp
@@ -1,4 +1,4 @@
-// Look-up of routes by host and path.
+// Configuration lookups, and routes by host and path.
 #include "anvilscale/direct.h"
 
 #include <algorithm>
--- a/src/direct/state_news.cpp
+++ b/src/direct/state_news.cpp
@@ -1,4 +1,4 @@
-// Whole states and heartbeats for the entries that follow an engine.
+// Publishes whole states and heartbeats of an engine to entries.
 #include "anvilscale/direct.h"
 
 namespace anvilscale {
--- a/src/direct/store_sharer.cpp
+++ b/src/direct/store_sharer.cpp
@@ -1,13 +1,13 @@
-// Which sidecar asks the platform's store for this entry and the others.
+// Selects the sidecar that watches the platform's store for all entries.
 #include "direct_calls_impl.h"
 
 namespace anvilscale {
 
 namespace {
 
-// Fewer entries ask the store themselves: sharing would save next to nothing.
+// Fewer entries watch the store themselves, where sharing saves little.
 constexpr std::uint32_t leastEntries = 8;
-// Longer than an outage of the store usually lasts for a VM that it turns away.
+// Longer than a usual store outage for a single VM.
 constexpr Duration avoidance = Seconds(10);
 
 } // namespace
--- a/src/direct/wait_forecast.cpp
+++ b/src/direct/wait_forecast.cpp
@@ -1,4 +1,4 @@
-// Forecasts from measured times. A guess stands only where nothing has been measured yet, and refuses nobody.
+// Wait forecasts from measured times. Defaults apply only until a value is measured, and refuse no call.
 #include "wait_forecast.h"
 
 #include <algorithm>
@@ -7,13 +7,13 @@
 
 namespace {
 
-// Until some sidecar has measured a load: a fraction of a second, as networks of data centres give.
+// Until a sidecar has measured a load.
 constexpr double guessedLoadMs = 300;
-// Of a model where neither the operator tells how long it takes nor a sidecar has seen one.
+// Model load, unless declared by the operator or measured by a sidecar.
 constexpr double guessedModelLoadMs = 3000;
-// An engine loads adapters that it held recently ten times as fast, as the platform declares.
+// Declared by the platform: load time of a recently held adapter relative to one from the weight store.
 constexpr double copyShare = 0.1;
-// Nobody beside the engine takes orders: as long as that lasts the adapter does not come.
+// Without a sidecar the engine gets no orders, so that the adapter is not loaded.
 constexpr double noSidecarMs = 20'000;
 
 } // namespace
@@ -50,8 +50,7 @@
     return readingMs(tokens);
 }
 
-// While these were not counted, calls were sent where the work was only about to come, and met it: they waited for up
-// to a second where a quarter had been estimated.
+// Prevents calls from being sent to an engine whose work is only about to arrive.
 double WaitForecast::plannedMs() const
 {
     if (!query_.policy->has(Mechanism::PlannedWork)) {
@@ -83,8 +82,7 @@
     return told ? entry_.state->copy_ms() : copyShare * loadMs();
 }
 
-// Adapters for calls that can be in time come first. While all were counted, long prompts were refused after a loss of
-// all engines for waits of three to four seconds; those that were taken waited for one.
+// Adapters for calls that can meet their objective are loaded first, so that only those count for such a call.
 std::uint32_t WaitForecast::ahead() const
 {
     const bool first = query_.inTime && query_.policy->has(Mechanism::InTimeFirst);
@@ -102,8 +100,7 @@
     return (hasCopy() ? copyMs() : loadMs()) + aheadMs(loadMs());
 }
 
-// This is no reason to prefer another engine, whose loads come from the same store: with it in the choice, adapters
-// spread and 3 % of the callers in time became late (four days, four seeds).
+// Not part of the choice between engines: all of them load from the same store.
 double WaitForecast::storeDelayMs(Presence presence) const
 {
     const bool counts = presence == Presence::Absent && !name_.second.empty() && fresh();
@@ -114,9 +111,8 @@
     return std::max(0.0, recent + aheadMs(recent) - adapterMs());
 }
 
-// An engine that has restarted is empty, and its model is ordered at once: what is left of that load counts. With a
-// fixed long time for it, callers were refused that could be served a second later, and the first engine to be ready
-// got all calls of the others.
+// A restarted engine is empty and its model is ordered at once: only the remaining load time counts. Prevents
+// refusals of calls that could be served shortly.
 double WaitForecast::modelMs() const
 {
     if (entry_.hasModel(name_.first, now_)) {
@@ -138,9 +134,8 @@
     return query_.policy->has(Mechanism::LearnedRuns) ? learned().runMs.mean() : 0;
 }
 
-// Until a slot is free for one more adapter: those that are waited for already come first. Where each slot has a
-// running call, the queue for slots and not the load makes callers wait: for seconds, on the days with most calls for
-// an engine.
+// Time until a slot is free for one more adapter, after those already awaited. When all slots have running calls,
+// callers wait for a slot and not for the load.
 double WaitForecast::slotMs() const
 {
     if (!query_.policy->has(Mechanism::SlotQueue)) {
@@ -165,9 +160,9 @@
         return ms;
     }
     if (presence == Presence::Loading) {
-        return ms + loadMs() / 2; // in the mean, half of it is left
+        return ms + loadMs() / 2; // half of it is left on average
     }
-    // An older version with running calls has to wait for their end.
+    // An older version with running calls is replaced only after they end.
     return ms + adapterMs() + slotMs() + (entry_.heldByRuns(name_, now_) ? runMs() : 0);
 }
 
--- a/src/direct/wait_forecast.h
+++ b/src/direct/wait_forecast.h
@@ -1,5 +1,5 @@
-// How long a call would wait at an endpoint, from what was learned of its service and what its sidecar tells. All
-// times are in milliseconds.
+// Forecast of how long a call would wait at an endpoint, from learned times and its sidecar's state. All times are in
+// milliseconds.
 #pragma once
 
 #include "endpoint_choice.h"
@@ -11,23 +11,24 @@
 public:
     WaitForecast(const EndpointEntry &entry, const ChoiceQuery &query, TimePoint now);
 
-    /// Prompts that the engine reads before one that is sent now.
+    /// Time for reading the prompts ahead of a call that is sent now.
     double backlogMs() const;
-    /// Prompts of calls that wait for an adapter there, which are read before one that begins to wait now.
+    /// Time for reading prompts of calls that wait for an adapter there; they are read before one that starts to wait
+    /// now.
     double plannedMs() const;
-    /// Reading `work` tokens.
+    /// Time for reading `work` tokens.
     double readingMs(double work) const;
-    /// Until the call's adapter is there, as long as the weight store keeps up.
+    /// Time until the call's adapter is resident, while the weight store is not overloaded.
     double presenceMs(Presence presence) const;
-    /// How much later than that it comes as loads take lately.
+    /// Additional time until the adapter is resident at recent load times.
     double storeDelayMs(Presence presence) const;
-    /// The engine probably has a copy of the call's adapter.
+    /// True if the engine probably has a copy of the call's adapter.
     bool hasCopy() const;
-    /// One load from the weight store while that is not busy.
+    /// One load from an idle weight store.
     double loadMs() const;
-    /// The part of the wait for the adapter that rests on measured or declared times: a guess counts for nothing.
+    /// Part of the wait for the adapter that rests on measured or declared times; defaults count as 0.
     double certainPresenceMs(Presence presence) const;
-    /// The same for a call that has been waiting there: on average half of the other loads come before its own.
+    /// The same for a call already waiting there: on average half of the other loads precede its own.
     double certainRestMs(Presence presence) const;
 
 private:
@@ -37,7 +38,7 @@
     bool loadsMeasured() const;
     double recentLoadMs() const;
     double slotMs() const;
-    /// Adapters that are loaded before this call's.
+    /// Number of adapters that are loaded before this call's.
     std::uint32_t ahead() const;
     double aheadMs(double loadTime) const;
     double runMs() const;
--- a/tests/unit/direct_calls_test.cpp
+++ b/tests/unit/direct_calls_test.cpp
@@ -1,5 +1,4 @@
-// The decisions of an entry on the direct path: where calls go, what waits, what is sent again and what a caller is
-// told.
+// Call handling of an entry on the direct path: endpoint choice, waiting, retries and answers to callers.
 #include "direct_fixture.h"
 
 namespace anvilscale::test {
@@ -75,9 +74,8 @@
     EXPECT_EQ(sent().endpointId, "e-1");
 }
 
-// The sidecar chooses what to unload from what entries tell it. An adapter on which a call was just sent must not go:
-// the engine would take no other order until the call has ended. The first call on an adapter is therefore told at
-// once, not with the next interval.
+// Guards against the eviction of an adapter on which a call was just sent: the sidecar would unload it and the engine
+// would take no other order until the call has ended.
 TEST_F(Calls, TheFirstCallOnAnAdapterIsToldAtOnce)
 {
     addEngine("e-1", "10.0.1.1:80", {"a1"});
@@ -90,8 +88,7 @@
     EXPECT_EQ(wishes[0].demand.wishes(0).running(), 1U);
 }
 
-// A call waits for its adapter when the engine announces that it leaves. Its caller must get the answer from another
-// engine: a leaving one takes no calls, also none that were meant for it before.
+// Guards against calls at a leaving engine, including those that already wait there for an adapter.
 TEST_F(Calls, WaitingCallsLeaveAnEndpointThatLeaves)
 {
     addEngine("e-1", "10.0.1.1:80", {});
@@ -116,8 +113,7 @@
     EXPECT_EQ(sent().version, 2U);
 }
 
-// Two entries send long prompts to one engine at the same moment. The second one learns through the sidecar what the
-// first has under way and takes an engine with the same adapter that is free.
+// Guards against two entries sending long prompts to one engine while another engine with the adapter is free.
 TEST_F(Calls, PromptsOfOtherEntriesCount)
 {
     addEngine("e-1", "10.0.1.1:80", {"a1"});
@@ -132,9 +128,8 @@
     EXPECT_NE(sent().endpointId, usual.endpointId);
 }
 
-// All calls of a popular adapter went to the engine that keeps the shared parts of their prompts. There are more parts
-// than it can keep, every prompt is read whole, and callers wait for seconds while an engine beside it with the same
-// adapter is idle. What the calls have met there counts.
+// Guards against queueing at the engine that should cache the prompt's shared parts while an idle engine holds the
+// adapter: measured answer times count.
 TEST_F(Calls, AnEngineThatIsSlowerThanEstimatedIsLeft)
 {
     addEngine("e-1", "10.0.1.1:80", {"a1"});
@@ -153,8 +148,8 @@
     EXPECT_NE(sent().endpointId, usual.endpointId);
 }
 
-// The engine crashes before it has begun a stream. One that may be resumed is begun anew at another engine; others may
-// have run, and their callers are told that the outcome is not known.
+// Guards against abandoning a resumable stream that can be restarted, and against restarting one of which the caller
+// has received a part.
 TEST_F(Calls, AResumableStreamIsBegunAnewWhileItsCallerHasNothingOfIt)
 {
     auto config = configOf(2);
@@ -174,8 +169,7 @@
     EXPECT_TRUE(take<SendCall>().empty());
 }
 
-// All endpoints of a service fail their calls for some seconds, after minutes without a failure. What is sent again
-// within that time must stay at the share of the calls that came within it; the quiet minutes before earn nothing.
+// Guards against a retry budget that accumulates in quiet minutes and is spent in one burst of failures.
 TEST_F(Calls, ABurstOfFailuresSpendsNoMoreThanItsShareOfRetries)
 {
     addPlain();
@@ -210,8 +204,7 @@
     EXPECT_TRUE(take<SendCall>().empty()) << "the route allows two endpoints";
 }
 
-// The answer to an admission is lost. It may have run, so the caller is told that the outcome is not known: neither is
-// it run again, nor is it called "not run".
+// Guards against repeating a non-idempotent call that may have run, and against reporting it as "not run".
 TEST_F(Calls, ANonIdempotentCallThatMayHaveRunIsNeitherRepeatedNorDenied)
 {
     addPlain();
@@ -237,7 +230,7 @@
     EXPECT_GT(refused[0].retryAfter, Duration(0));
 }
 
-// A first endpoint broke off an idempotent call and may have run it; the second one is full. "Not run" would be untrue.
+// Guards against reporting "not run" for a call that a first endpoint broke off and a second one refused.
 TEST_F(Calls, ARefusalAfterAnAttemptThatMayHaveRunIsNoProof)
 {
     addPlain();
@@ -249,8 +242,7 @@
     EXPECT_TRUE(std::holds_alternative<AbandonCall>(actions[0]));
 }
 
-// The address of an endpoint that is gone belongs to another one by now, which refuses the call. The record of the
-// old one is forgotten at once: every further call would be refused as well until the store tells.
+// Guards against further refused calls to an address that belongs to another incarnation.
 TEST_F(Calls, AnAddressThatChangedHandsIsForgotten)
 {
     addPlain();
@@ -263,8 +255,7 @@
     }
 }
 
-// The same of an engine at which another call waits for its adapter: nobody will load it there. It is placed anew with
-// the refusal, and does not wait until it is thought over, up to a second later.
+// Guards against calls that keep waiting for an adapter at an address that belongs to another incarnation.
 TEST_F(Calls, CallsThatWaitWhereAnAddressChangedHandsArePlacedAnew)
 {
     addEngine("e-1", "10.0.1.1:80", {"a1"});
@@ -298,8 +289,7 @@
     EXPECT_EQ(refused[0].retryAfter, Seconds(2)) << "nobody knows what is in ten seconds";
 }
 
-// An entry has just started and has measured nothing. By its guess an engine is swamped for a minute; it may be ten
-// times as fast. Callers are not refused by a guess.
+// Guards against refusals that rest on default values before anything is measured.
 TEST_F(Calls, AGuessRefusesNobody)
 {
     addEngine("e-1", "10.0.1.1:80", {"a1"});
@@ -326,8 +316,8 @@
     EXPECT_EQ(ended[0].reason, FailureReason::DeadlinePassed);
 }
 
-// A failing endpoint refuses every connection. The calls go to the other one without drawing on the retry budget,
-// since nothing was sent, and later calls avoid it.
+// Guards against further calls to an unreachable endpoint, and against spending the retry budget on calls that were
+// not sent.
 TEST_F(Calls, AnUnreachableEndpointIsAvoided)
 {
     addPlain();
@@ -342,8 +332,7 @@
     }
 }
 
-// The only endpoint that is left has just failed a call. The call is tried there all the same: what speaks against an
-// endpoint orders the choice, and is no forecast that the answer would come too late.
+// Guards against refusing calls because the only endpoint is being avoided.
 TEST_F(Calls, AnAvoidedEndpointIsBetterThanNone)
 {
     calls_.applyEndpoint(endpointOf("p-1", plainService, "10.0.0.1:80"), now_);
@@ -353,8 +342,7 @@
     EXPECT_EQ(sent().endpointId, "p-1");
 }
 
-// An entry has started and knows engines, but not yet what they hold. A caller whose adapter has to be loaded would be
-// refused, and served a moment later: the balancer sends nobody before the sidecars have told, or are late.
+// Guards against a new entry that counts as ready before sidecars have reported, or never without them.
 TEST_F(Calls, ReadyOnceTheSidecarsHaveTold)
 {
     calls_.applyEndpoint(endpointOf("e-1", engineService, "10.0.1.1:80"), now_);
@@ -364,8 +352,7 @@
     EXPECT_TRUE(calls_.ready(now_));
 }
 
-// All endpoints have crashed and come back. For some seconds the store holds the records of both incarnations, and the
-// ids say nothing of their age. Calls sent to the older one would be refused, one after the other.
+// Guards against calls to the older of two incarnations at one address while the store holds both records.
 TEST_F(Calls, TheYoungestRecordOfAnAddressCounts)
 {
     auto young = endpointOf("a-young", plainService, "10.0.0.1:80");
@@ -383,8 +370,7 @@
     EXPECT_EQ(sent().endpointId, "a-young");
 }
 
-// An entry has just started, and callers are already sent to it since no other is left. A call whose adapter has to be
-// loaded is not refused for want of a sidecar's word: it waits for it, and is sent when the adapter is there.
+// Guards against refusing a call because the engine's sidecar has not sent its state yet.
 TEST_F(Calls, ASidecarThatHasNotSpokenYetIsWaitedFor)
 {
     calls_.applyEndpoint(endpointOf("e-1", engineService, "10.0.1.1:80"), now_);
@@ -394,8 +380,7 @@
     EXPECT_EQ(sent().endpointId, "e-1");
 }
 
-// An endpoint lapses from the store and comes back under its id while calls of before are still under way there. Their
-// ends must not make its counts wrap around: it would look infinitely loaded and get no call for the rest of the day.
+// Guards against counters that wrap around when calls end at an endpoint whose record was removed and created again.
 TEST_F(Calls, AnEndpointThatComesBackCountsFromZero)
 {
     calls_.applyEndpoint(endpointOf("p-1", plainService, "10.0.0.1:80"), now_);
--- a/tests/unit/direct_estimates_test.cpp
+++ b/tests/unit/direct_estimates_test.cpp
@@ -1,4 +1,4 @@
-// What entries and sidecars learn, with engines from a third of today's speed to four times it.
+// Estimates of entries and sidecars, for engines from 0.3 to 4 times the usual speed.
 #include "direct/load_times.h"
 #include "direct_fixture.h"
 
@@ -20,8 +20,7 @@
     EXPECT_EQ(samples.mean(), 2.5);
 }
 
-// A third of the prompts meets an engine that is busy, or loses the parts that should have been kept there. Their times
-// say nothing of the engine, and the fit must not follow them.
+// Guards against a fit that follows outliers: a third of the samples met a busy engine or missed the prefix cache.
 TEST(ReadingSpeed, IsFoundAmongWrongSamplesAtAnySpeed)
 {
     for (const double speed : speeds) {
@@ -91,13 +90,12 @@
     }
 }
 
-// The engine keeps copies of the last eight adapters. Calls that count on an older one would wait ten times as long as
-// they were told, and the load would be paid for.
+// Guards against counting on copies that the engine no longer has.
 TEST_F(Loads, HowManyCopiesAnEngineKeepsIsLearned)
 {
     for (int round = 0; round < 12; ++round) {
         for (int i = 0; i < 14; ++i) {
-            load("a" + std::to_string(i), usualLoadMs); // each was held 13 others ago
+            load("a" + std::to_string(i), usualLoadMs); // held 13 adapters ago
         }
         load("a13", usualLoadMs / 10);
         load("a9", usualLoadMs / 10);
@@ -115,8 +113,7 @@
     EXPECT_EQ(loads_.copies(), 0U) << "it came from the store because it is new, not because the copy was dropped";
 }
 
-// The store serves all engines, and is asked for more than it carries: each load takes twice its time. Going on with
-// four side by side makes none of them come earlier; once the store keeps up again, so do the loads.
+// Guards against concurrent loads that keep the store overloaded, and against a window that stays small afterwards.
 TEST_F(Loads, FewerGoOnSideBySideWhileTheStoreIsSlow)
 {
     for (const double speed : speeds) {
@@ -149,8 +146,7 @@
     EXPECT_EQ(loads_.copyMs(), 0);
 }
 
-// Deployments differ in how fast their engines read. The same backlog is a hundred milliseconds on one and a second on
-// the other: a caller who leaves after two seconds is refused only where it is hopeless.
+// Guards against refusals that assume a fixed reading speed: the same backlog takes longer on a slower engine.
 class AtAnySpeed : public Calls, public testing::WithParamInterface<double>
 {
 };
--- a/tests/unit/direct_fixture.h
+++ b/tests/unit/direct_fixture.h
@@ -1,4 +1,4 @@
-// One entry's decisions on the direct path under a virtual clock, with two routes to plain services and one to engines.
+// Fixture for one entry's calls under a virtual clock, with two routes to plain services and one to engines.
 #pragma once
 
 #include "direct/estimates.h"
@@ -142,8 +142,8 @@
         now_ += span;
         calls_.tick(now_);
     }
-    /// One call at the only engine whose prompt of `tokens` an idle engine reads at this speed; each token counts for
-    /// more by `growth` for every token before it.
+    /// Runs one call at the only engine, which reads its prompt of `tokens` at this speed; the work of a token grows
+    /// by `growth` for each preceding token.
     void readPrompt(const std::string &adapter, double tokens, double tokensPerMs, double growth = 0)
     {
         CallFacts facts;
@@ -163,7 +163,7 @@
         end(send, AttemptEnd::Answered);
         take<SendWishes>();
     }
-    /// Calls at the only engine that last so long.
+    /// Runs calls of this duration at the only engine.
     void learnRuns(const std::string &adapter, Duration span)
     {
         for (int i = 0; i < 8; ++i) {
@@ -176,7 +176,7 @@
             take<SendWishes>();
         }
     }
-    /// Usual calls, after which the entry knows how fast its engines read.
+    /// Runs enough calls for the entry to measure the reading speed of its engine.
     void learnReading(const std::string &adapter, double tokensPerMs, double growth = 0)
     {
         for (int i = 0; i < 72; ++i) {
--- a/tests/unit/direct_herd_test.cpp
+++ b/tests/unit/direct_herd_test.cpp
@@ -1,4 +1,4 @@
-// Many entries that decide on the same old news: how their calls spread over the engines.
+// Distribution of calls over engines by many entries with the same outdated state.
 #include "direct_fixture.h"
 
 namespace anvilscale::test {
@@ -8,10 +8,10 @@
 protected:
     static constexpr int engines = 40;
     static constexpr int entries = 30;
-    static constexpr std::uint64_t busyTokens = 20'000; // a second of reading
+    static constexpr std::uint64_t busyTokens = 20'000; // one second of reading
     static inline const std::string freeEngine = "10.0.1.7:80";
 
-    /// Where the first call of each entry waits for its adapter, each of which is held nowhere; by address.
+    /// Number of calls by engine address, when each entry places one call for an absent adapter of its own.
     static std::map<std::string, int> placed(const DirectPolicy &policy, TimePoint now)
     {
         std::map<std::string, int> result;
@@ -48,8 +48,8 @@
     }
 };
 
-// Callers wait for seconds at an engine that was free when it was last heard: within the half second until the next
-// news all entries send their calls there, each for an adapter of its own, and the engine has room for a few.
+// Guards against all entries sending their calls to the engine that was idle in the last state, until the next
+// update.
 TEST_F(Herd, EntriesDoNotAllChooseTheEngineThatLookedFree)
 {
     const auto spread = placed(DirectPolicy{}, now_);
--- a/tests/unit/direct_keeper_test.cpp
+++ b/tests/unit/direct_keeper_test.cpp
@@ -1,5 +1,4 @@
-// The orders to one engine: what is loaded and unloaded, and what happens to orders when answers are lost or the engine
-// restarts.
+// Orders to one engine: loads, evictions, lost answers and engine restarts.
 #include "anvilscale/direct.h"
 
 #include <gtest/gtest.h>
@@ -55,7 +54,7 @@
     {
         now_ += span;
     }
-    /// One adapter goes into an engine that holds nothing, in so much time.
+    /// Loads one adapter into an empty engine within the given time.
     void load(const std::string &name, Duration took)
     {
         want({name});
@@ -70,12 +69,11 @@
 
     TimePoint now_{Seconds(100)};
     std::uint32_t slots_ = slotsOfEngine;
-    std::uint64_t loaded_ = 0; // orders that `load` has had carried out
+    std::uint64_t loaded_ = 0; // orders that `load` has completed
     AdapterKeeper keeper_{firstFence};
 };
 
-// An engine says that it leaves. Its sidecar tells that at once, and not of the engine's successor: until that has
-// reported, the last report is of the process before.
+// Guards against a leaving state that is sent late, or that is attributed to the next incarnation.
 TEST_F(Keeper, TellsThatItsEngineLeavesAndNotThatTheNextOneDoes)
 {
     want({});
@@ -110,12 +108,11 @@
     EXPECT_FALSE(keeper_.nextOrder(now_)) << "one order is under way at a time";
 }
 
-// An engine that is ordered to hold more than its slots crashes. Loads under way count as held, so that the last slot
-// is not given twice: with both slots taken the least used adapter has to go first.
+// Guards against loading more adapters than the engine has slots, which crashes it: pending loads count as held.
 TEST_F(Keeper, NeverOrdersMoreThanTheSlotsHold)
 {
     for (int i = 0; i < 3; ++i) {
-        load("b" + std::to_string(i), Milliseconds(250)); // the store is fast: loads may go on side by side
+        load("b" + std::to_string(i), Milliseconds(250)); // a fast store allows concurrent loads
     }
     want({"a3"});
     auto report = reportOf(loaded_ + 1, {"a1"});
@@ -144,8 +141,7 @@
     EXPECT_EQ(keeper_.state(now_).room(), 0U);
 }
 
-// The answer to a load is lost, and the engine may carry it out seconds later. The next order goes out at once and
-// expects the same sequence: whichever comes first moves the sequence on, and the engine refuses the other one.
+// Guards against two loads being applied when the answer to the first is lost: both expect the same sequence.
 TEST_F(Keeper, AnOrderWithoutAnswerIsFollowedByOneThatExcludesIt)
 {
     want({"a1"});
@@ -157,8 +153,7 @@
     EXPECT_EQ(next->expected, lost->expected);
 }
 
-// Answers to orders come within milliseconds, and now and then one is lost. Callers whose adapters wait for the next
-// order must not wait for the lost answer any longer than it could still come.
+// Guards against waiting for a lost answer longer than it could still arrive.
 TEST_F(Keeper, ALostAnswerIsNotWaitedForLong)
 {
     const auto before = keeper_.orderTimeout();
@@ -174,9 +169,8 @@
     EXPECT_GE(keeper_.orderTimeout(), Milliseconds(15));
 }
 
-// The engine restarts under a new incarnation and refuses every order that names the old one, without always saying
-// who it is. The callers of its adapters wait until the sidecar takes over the incarnation that the entries read from
-// the store; until then no further order is sent, which could only be refused.
+// Guards against orders under an incarnation that the engine has refused, and against keeping it once entries report
+// the new one.
 TEST_F(Keeper, TakesOverTheEnginesNewIncarnation)
 {
     want({"a1"});
@@ -190,14 +184,13 @@
     const auto order = keeper_.nextOrder(now_);
     ASSERT_TRUE(order);
     EXPECT_EQ(order->endpointId, "i-2");
-    want({"a1"}, "i-1"); // an entry that is behind
+    want({"a1"}, "i-1"); // an entry with outdated state
     keeper_.orderEnded(order->id, EngineOrderResult::Conflict, "", now_);
     pass(Seconds(1));
     ASSERT_TRUE(keeper_.nextOrder(now_));
 }
 
-// An earlier start of this sidecar, with its clock ahead, has used a higher fencing number. The engine refuses ours;
-// only this VM orders its engine, so the number is raised past any step of a clock.
+// Guards against an engine that refuses all orders because an earlier start used a higher fencing number.
 TEST_F(Keeper, RaisesItsFenceWhenAnEarlierStartWasAhead)
 {
     want({"a1"});
@@ -209,9 +202,8 @@
     EXPECT_GT(next->fence, refused->fence + 2000);
 }
 
-// The weight store is asked for more than it carries: loads take more than twice their time. Those that go on side by
-// side would all end late, so that the next ones wait until the one on its way is there; then what lets most callers be
-// in time comes first, also before what more callers wait for who are late already.
+// Guards against concurrent loads from an overloaded store, and against loading for late calls before those that can
+// meet their objective.
 TEST_F(Keeper, LoadsOneAfterTheOtherWhileTheStoreIsSlow)
 {
     slots_ = 4;
@@ -285,9 +277,7 @@
     EXPECT_TRUE(order->adapter.empty());
 }
 
-// An order to load is lost, and the engine starts again under the same id. Its sequence counts from zero and comes by
-// the lost order's number again; carried out then, in a full engine, the lost order makes it hold more than it can, and
-// it crashes. A slot stays free at that number, and is used again after it.
+// Guards against a lost load from before a restart that is accepted at its sequence and overloads a full engine.
 TEST_F(Keeper, AnOrderOfBeforeARestartFindsASlotFree)
 {
     auto before = reportOf(1, {});
@@ -309,8 +299,7 @@
     EXPECT_EQ(next->kind, EngineOrderKind::Load) << "it expects the same number: the engine takes only one of the two";
 }
 
-// The engine has started again under its id while an order was on its way. Its late answer must neither be taken for an
-// order's effect nor hold up the next one.
+// Guards against an answer from before a restart that counts for the new process or delays the next order.
 TEST_F(Keeper, TheAnswerToAnOrderOfBeforeARestartIsOfNoUse)
 {
     auto before = reportOf(300, {});
@@ -319,7 +308,7 @@
     keeper_.applyReport(before, now_);
     const auto order = keeper_.nextOrder(now_);
     ASSERT_TRUE(order);
-    auto after = reportOf(301, {}); // by chance it counts further than the one before
+    auto after = reportOf(301, {}); // higher than before the restart by chance
     after.born = 2000;
     keeper_.applyReport(after, now_);
     keeper_.orderEnded(order->id, EngineOrderResult::Accepted, "", now_);
@@ -329,8 +318,7 @@
     EXPECT_EQ(keeper_.state(now_).born(), 2000U);
 }
 
-// Ten entries place calls at an engine with room for one, within the half second until they hear of each other: what
-// waits counts as work that has moved, so that they hear sooner.
+// Guards against entries that place calls at one engine because they learn too late of each other's waiting calls.
 TEST_F(Keeper, WorkThatWaitsCountsAsPending)
 {
     keeper_.applyReport(reportOf(0, {}), now_);
--- a/tests/unit/direct_leaving_test.cpp
+++ b/tests/unit/direct_leaving_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints that leave, as one entry's decisions see them.
+// Routing around endpoints that are leaving or paused.
 #include "direct_fixture.h"
 
 namespace anvilscale::test {
@@ -25,7 +25,7 @@
         state.set_leaving(leaving);
         return state;
     }
-    /// Endpoints that get calls on an adapter that all hold.
+    /// Endpoints that receive calls on an adapter that all of them hold.
     std::set<std::string> used()
     {
         std::set<std::string> result;
@@ -37,9 +37,7 @@
     }
 };
 
-// An endpoint has said that it leaves, and gets a call all the same. An earlier write of its record, which it had sent
-// while it was ready and whose answer it never had, was carried out seconds later. Leaving is for good: only another
-// process can be ready again.
+// Guards against a delayed write of an older record that makes a leaving endpoint look ready again.
 TEST_F(Leaving, ALateRecordDoesNotBringALeavingEndpointBack)
 {
     addEngines();
@@ -59,8 +57,7 @@
     EXPECT_EQ(used(), (std::set<std::string>{"e-1", "e-2"}));
 }
 
-// An engine leaves while this entry does not hear the store. The sidecar beside the engine has read it in the engine's
-// own report: calls go elsewhere at once, also those that wait for an adapter there.
+// Guards against calls to a leaving engine while the store is unreachable: its sidecar reports it as well.
 TEST_F(Leaving, ASidecarTellsThatItsEngineLeaves)
 {
     addEngines();
@@ -78,7 +75,7 @@
     EXPECT_EQ(sent().endpointId, "e-2");
 }
 
-// The sidecar still has the last report of a process that is over: it says nothing of the one that has followed.
+// Guards against a sidecar's last state of a terminated process that is applied to its successor.
 TEST_F(Leaving, ASidecarsWordOnAnotherProcessDoesNotCount)
 {
     addEngines();
@@ -86,7 +83,7 @@
     EXPECT_EQ(used(), (std::set<std::string>{"e-1", "e-2"}));
 }
 
-// Guards against calls to an endpoint that has said in an answer that it leaves, while the store does not tell.
+// Guards against calls to an endpoint that reported in an answer that it is leaving, before the store does.
 TEST_F(Leaving, AnEndpointThatSaysSoInAnAnswerGetsNoMoreCalls)
 {
     addPlain();
@@ -97,7 +94,7 @@
     }
 }
 
-// Guards against an older record of the store that makes the endpoint seem ready again.
+// Guards against an older store record that makes the endpoint look ready again.
 TEST_F(Leaving, NoRecordBringsBackAnEndpointThatSaidThatItLeaves)
 {
     addPlain();
@@ -111,7 +108,7 @@
     }
 }
 
-// Guards against a call that has waited for its adapter there and is sent when it comes.
+// Guards against a call that waits for its adapter at a leaving engine and is sent there.
 TEST_F(Leaving, WaitingCallsGoElsewhereWhenAnAnswerTellsThatTheEngineLeaves)
 {
     addEngine("e-1", addressOne, {});
@@ -122,7 +119,7 @@
     EXPECT_EQ(sent().endpointId, "e-2");
 }
 
-// Guards against a departure that outlives the process: the next one under the id is ready.
+// Guards against a leaving state that outlives its process and affects the next one under the same id.
 TEST_F(Leaving, TheNextProcessIsNotTakenForTheOneThatSaidThatItLeaves)
 {
     addEngines();
@@ -140,7 +137,7 @@
 {
 };
 
-// Guards against calls to an endpoint that has turned one away and said for how long it wants none.
+// Guards against calls to an endpoint that refused one and requested a pause.
 TEST_F(Pausing, AnEndpointGetsNoCallsForAsLongAsItSaid)
 {
     addPlain();
@@ -161,7 +158,7 @@
     EXPECT_EQ(reached, (std::set<std::string>{"p-1", "p-2"}));
 }
 
-// Guards against a call that is held, or sent all the same, while no endpoint wants any: it is told when one will.
+// Guards against holding or sending a call while all endpoints are paused, and against a wrong retry time.
 TEST_F(Pausing, WhereAllEndpointsPauseCallersHearWhenTheFirstIsBack)
 {
     addPlain();
@@ -175,7 +172,7 @@
     EXPECT_EQ(refused[0].retryAfter, Milliseconds(1200));
 }
 
-// Guards against a call that has waited for its adapter and is sent into the pause.
+// Guards against a call that waits for its adapter and is sent during the pause.
 TEST_F(Pausing, WaitingCallsGoElsewhere)
 {
     addEngine("e-1", addressOne, {});
--- a/tests/unit/direct_load_test.cpp
+++ b/tests/unit/direct_load_test.cpp
@@ -1,5 +1,4 @@
-// An entry of the direct path under load: how long a call will wait is forecast from what the sidecars tell, and calls
-// that cannot begin in time are refused while their callers can still go elsewhere.
+// Wait forecasts and early refusals of an entry under load.
 #include "direct_fixture.h"
 
 namespace anvilscale::test {
@@ -7,7 +6,7 @@
 class CallsUnderLoad : public Calls
 {
 protected:
-    /// Callers leave a stream that has not begun after two seconds; the speed of the only engine is measured.
+    /// Callers abandon streams without an event after two seconds; the reading speed of the only engine is measured.
     void startWithCallersWhoLeave()
     {
         auto config = configOf(2);
@@ -16,7 +15,7 @@
         addEngine("e-1", "10.0.1.1:80", {"a9"});
         learnReading("a9", 40);
     }
-    /// A load takes a second in place of a quarter of one, and only one goes on at a time.
+    /// A load takes one second instead of 250 ms, and loads run one at a time.
     static wire::DirectState slowStore()
     {
         auto state = stateWith({});
@@ -31,8 +30,7 @@
     }
 };
 
-// Callers see an answer a second late, though an engine beside was idle. Other calls waited for their adapters at the
-// engine that was chosen: nothing of them was sent yet, so that it seemed free, and their prompts were read first.
+// Guards against choosing an engine whose backlog is still waiting for adapters and is therefore not sent yet.
 TEST_F(CallsUnderLoad, PromptsThatWaitForAdaptersCount)
 {
     addEngine("e-1", "10.0.1.1:80", {});
@@ -62,8 +60,7 @@
     EXPECT_EQ(wishes.front().demand.wishes(0).in_time(), 1U);
 }
 
-// A call waits for its adapter until its objective has passed. The sidecar loads for others first from then on, so it
-// must hear of that without any event.
+// Guards against a sidecar that is not notified when a waiting call misses its objective.
 TEST_F(CallsUnderLoad, AWaitingCallBecomesLateByItself)
 {
     addEngine("e-1", "10.0.1.1:80", {});
@@ -76,8 +73,7 @@
     EXPECT_EQ(wishes.back().demand.wishes(0).in_time(), 0U);
 }
 
-// All engines have lost their contents. An adapter comes in four seconds, and callers leave a stream that has not begun
-// after two: the call is refused at once, and told when to come back, in place of being held until its caller leaves.
+// Guards against holding a call whose adapter cannot be loaded before its caller leaves.
 TEST_F(CallsUnderLoad, ACallWhoseAdapterComesTooLateIsRefusedAtOnce)
 {
     startWithCallersWhoLeave();
@@ -94,7 +90,7 @@
     EXPECT_GT(refused.front().retryAfter, Seconds(1));
 }
 
-// The same store, with loads ahead for calls that are late already: those give way, and the call is taken.
+// Guards against a forecast that includes loads for late calls, which are loaded afterwards.
 TEST_F(CallsUnderLoad, LoadsForLateCallsAreNotWaitedFor)
 {
     startWithCallersWhoLeave();
@@ -107,8 +103,7 @@
     EXPECT_TRUE(take<RefuseCall>().empty());
 }
 
-// After a loss of all engines a dozen adapters are waited for by calls that are late already. A call that can be in
-// time is loaded for before all of them; counted behind them, its wait was forecast as seconds and it was refused.
+// Guards against refusing a call that can meet its objective because many late calls wait for adapters.
 TEST_F(CallsUnderLoad, ALongQueueOfLateCallsRefusesNobodyWhoCanBeInTime)
 {
     startWithCallersWhoLeave();
@@ -128,9 +123,7 @@
     EXPECT_EQ(take<RefuseCall>().size(), 1U) << "these do come before it";
 }
 
-// Calls on one absent adapter come to two entries within a moment. The second entry hears that the adapter is awaited
-// at an engine and sends its call there too: loaded twice, it would take a slot of two engines, and callers wait for
-// slots.
+// Guards against loading one absent adapter into two engines when calls reach two entries at the same time.
 TEST_F(CallsUnderLoad, WhatIsAwaitedSomewhereIsNotLoadedElsewhere)
 {
     for (int i = 1; i <= 6; ++i) {
@@ -153,9 +146,7 @@
     }
 }
 
-// Each slot of an engine has a running call, and five adapters wait there for one. A call that joins them begins when
-// its caller has left, though an engine with one running call in each slot and nothing that waits is as good for the
-// load.
+// Guards against choosing an engine where adapters already wait for slots with running calls.
 TEST_F(CallsUnderLoad, TheQueueForSlotsCounts)
 {
     addEngine("e-1", "10.0.1.1:80", {"b1"});
@@ -178,8 +169,7 @@
     }
 }
 
-// An engine crashes, and its record stays in the store for three more seconds. Its sidecar knows at once: a call that
-// waits there for an adapter is placed anew, and new calls go elsewhere, though the adapter was there.
+// Guards against calls at a crashed engine, waiting or new, until its record lapses from the store.
 TEST_F(CallsUnderLoad, AnEngineThatItsSidecarCannotReachIsLeft)
 {
     addEngine("e-1", "10.0.1.1:80", {});
@@ -196,8 +186,7 @@
     EXPECT_TRUE(take<SendCall>().empty()) << "the adapter is loaded into the other engine";
 }
 
-// An engine has restarted and loads its model for 600 ms. Its callers were refused as if that took three seconds, and
-// came back to an engine that had been ready for long.
+// Guards against refusals at an engine whose model is almost loaded after a restart.
 TEST_F(CallsUnderLoad, WhatIsLeftOfAModelsLoadCounts)
 {
     auto config = configOf(2);
@@ -213,8 +202,7 @@
     EXPECT_EQ(calls_.stats().waitedForAdapter, 1U);
 }
 
-// A prompt of 30,000 tokens takes an engine 1.4 times as long as its tokens alone, since each is compared with all
-// before it. Counted by its tokens it seemed to fit behind another one.
+// Guards against estimating a long prompt by its token count only, although the time per token grows with its length.
 TEST_F(CallsUnderLoad, LongPromptsCountForMore)
 {
     constexpr double pairs = 2.5e-5;
--- a/tests/unit/direct_news_test.cpp
+++ b/tests/unit/direct_news_test.cpp
@@ -1,4 +1,4 @@
-// What entries hear of engines between changes, and what they make of an engine of which they hear nothing.
+// State updates and heartbeats between sidecars and entries, and routing around silent sidecars.
 #include "direct_fixture.h"
 
 namespace anvilscale {
@@ -17,7 +17,7 @@
     {
         news_.update(stateWith({"a"}));
     }
-    /// The entry has got all that was told to it, and says so.
+    /// The entry has received the current state and acknowledges it.
     void acknowledge()
     {
         const auto message = news_.messageFor(entry);
@@ -50,8 +50,7 @@
     EXPECT_TRUE(news_.messageFor(entry).has_direct_heartbeat()) << "and only once";
 }
 
-// A whole state is lost on its way: the entry would take heartbeats for news of a state that it does not have. What it
-// says next names the one before, and the lost one is told again.
+// Guards against heartbeats that are applied to a state the entry never received.
 TEST_F(News, ALostStateIsToldAgain)
 {
     acknowledge();
@@ -95,7 +94,7 @@
         heartbeat.set_state_sequence(sequence);
         calls_.applyHeartbeat(address, heartbeat, now_);
     }
-    /// Ids of the engines that get the next calls.
+    /// Ids of the engines that receive the next calls.
     std::set<std::string> chosen()
     {
         std::set<std::string> ids;
@@ -119,9 +118,8 @@
     EXPECT_EQ(chosen(), (std::set<std::string>{"e-1", "e-2"}));
 }
 
-// Callers get no event and leave after some seconds. An engine's VM stops, its sidecar with it; for as long as no call
-// of this entry had waited there for longer than nearly all others, further ones were sent. The engine reads them when
-// it wakes, although their callers have left. Its sidecar is silent from the first moment, which is what tells.
+// Guards against calls to an engine on a stopped VM, which would read them after resuming, when their callers have
+// left.
 TEST_F(HeardEngines, AnEngineWhoseSidecarFallsSilentGetsNoMoreCalls)
 {
     for (int i = 0; i < 2; ++i) {
@@ -141,8 +139,7 @@
     EXPECT_EQ(chosen(), std::set<std::string>{"e-1"});
 }
 
-// An entry's own process is held up. To it no engine has been heard, and one whose sidecar is not connected would seem
-// the best of all: every call would go there.
+// Guards against a paused entry that takes all sidecars for silent and sends every call to an engine without one.
 TEST_F(HeardEngines, AnEntryThatWasHeldUpTakesNobodyForSilent)
 {
     auto unheard = test::endpointOf("e-3", test::engineService, "10.0.1.3:80");
@@ -153,7 +150,7 @@
     EXPECT_EQ(chosen(), (std::set<std::string>{"e-1", "e-2", "e-3"}));
 }
 
-// A sidecar's process ends while its engine goes on: its connection says so at once, and the engine keeps its calls.
+// Guards against avoiding an engine whose sidecar process has terminated.
 TEST_F(HeardEngines, AnEngineWhoseSidecarHasEndedKeepsItsCalls)
 {
     pass(Milliseconds(250));
--- a/tests/unit/direct_popularity_test.cpp
+++ b/tests/unit/direct_popularity_test.cpp
@@ -1,5 +1,4 @@
-// Popularity shifts: an adapter that hardly anybody asked for is wanted by half of the fleet's callers within seconds.
-// How many engines come to hold it, and whether entries that know nothing of each other choose the same ones.
+// Copies of an adapter whose popularity rises within seconds, and agreement of independent entries on their engines.
 #include "direct_fixture.h"
 
 namespace anvilscale::test {
@@ -10,7 +9,7 @@
     static constexpr std::size_t engines = 12;
     static constexpr std::uint32_t slots = 8;
 
-    /// `holders` of the engines hold the adapter, with so many calls each in the last seconds and prompts to be read.
+    /// The first `holders` engines hold the adapter, each with these recent calls and unread prompt tokens.
     void addFleet(std::size_t holders, std::uint32_t recentCalls, std::uint64_t unreadTokens)
     {
         for (std::size_t i = 0; i < engines; ++i) {
@@ -28,7 +27,7 @@
         }
         take<SendWishes>();
     }
-    /// True if the next call waits for a load into a further engine; it is sent to a holder otherwise.
+    /// True if the next call waits for a load into another engine, false if it is sent to a holder.
     bool nextCallIsLoadedFor()
     {
         arrive("/s/x", "a");
@@ -36,11 +35,10 @@
     }
 };
 
-// Callers wait for a second and more beside engines that have nothing to do: all calls on the adapter are read one
-// after the other at the one engine that holds it, since each single call was to be worth the price of a load.
+// Guards against calls that queue at the only holder of a popular adapter while other engines are idle.
 TEST_F(PopularAdapter, GetsAFurtherCopyOnceItsCallsQueue)
 {
-    addFleet(1, 64, 12'000); // some 600 ms of reading
+    addFleet(1, 64, 12'000); // about 600 ms of reading
     EXPECT_TRUE(nextCallIsLoadedFor());
 }
 
@@ -50,7 +48,7 @@
     EXPECT_FALSE(nextCallIsLoadedFor());
 }
 
-// The same queue, made of other adapters' calls: a copy would be paid for and serve one call.
+// Guards against a further copy for a single call when other adapters' calls make up the queue.
 TEST_F(PopularAdapter, AnAdapterThatFewAskForWaitsItsTurn)
 {
     addFleet(1, 0, 12'000);
--- a/tests/unit/direct_quarantine_test.cpp
+++ b/tests/unit/direct_quarantine_test.cpp
@@ -1,4 +1,4 @@
-// Requests that crash the endpoints that run them.
+// Quarantine of requests that crash the endpoints running them.
 #include "direct_fixture.h"
 
 namespace anvilscale::test {
@@ -49,7 +49,7 @@
     static constexpr CallFingerprint other{8};
 };
 
-// Guards against a request that comes again under a new id and ends one endpoint after the other.
+// Guards against a request that is repeated under new ids and crashes one endpoint after another.
 TEST_F(Quarantine, ARequestUnderWhichThreeEndpointsEndedReachesNoFourth)
 {
     addEndpoints(5);
@@ -60,7 +60,7 @@
     expectSent(other);
 }
 
-// Guards against the entry's own retry as a fourth endpoint, of a call that has already run at the third.
+// Guards against a retry at a fourth endpoint by the entry itself.
 TEST_F(Quarantine, ARetryStopsAtTheThirdEndpoint)
 {
     addEndpoints(5);
@@ -73,7 +73,7 @@
     EXPECT_TRUE(std::holds_alternative<AbandonCall>(actions[0])) << "it has run: the outcome is not known";
 }
 
-// Guards against entries of which each knows only the crashes that it saw itself.
+// Guards against entries that count only the crashes at their own attempts.
 TEST_F(Quarantine, CrashesThatOtherEntriesSawCount)
 {
     addEndpoints(3);
@@ -86,8 +86,7 @@
     expectSent(other);
 }
 
-// Guards against an innocent request under quarantine for one crash that several of its attempts met, or that is told
-// twice.
+// Guards against quarantining an innocent request for one crash that several attempts met or that is reported twice.
 TEST_F(Quarantine, OneCrashCountsOnce)
 {
     addEndpoints(1);
@@ -107,7 +106,7 @@
     expectSent(fatal);
 }
 
-// Guards against a crash that is not counted because the endpoint is back under the id that it had.
+// Guards against counting crashes of a restarted endpoint with the same id only once.
 TEST_F(Quarantine, AnEndpointThatIsBackUnderItsIdCountsAgain)
 {
     addEndpoints(1);
@@ -117,7 +116,7 @@
     expectRefused(fatal);
 }
 
-// Guards against a path that many callers ask for under quarantine because it is under way at every crash.
+// Guards against quarantining a frequent request because it is in progress at every crash.
 TEST_F(Quarantine, ARequestThatWasAnsweredIsNoSuspect)
 {
     addEndpoints(5);
@@ -130,8 +129,7 @@
     EXPECT_TRUE(calls_.takeCrashReports().empty());
 }
 
-// Guards against a request that is taken for harmless because an endpoint that fails part of its calls answered it with
-// a failure.
+// Guards against clearing a request because an endpoint answered it with an error.
 TEST_F(Quarantine, AFailureOfTheEndpointsOwnAcquitsNobody)
 {
     addEndpoints(5);
@@ -144,7 +142,7 @@
     expectRefused(fatal);
 }
 
-// Guards against a call that waits for its adapter until its deadline although no endpoint may run it any more.
+// Guards against a quarantined call that waits for its adapter until its deadline.
 TEST_F(Quarantine, AWaitingCallEndsWithTheNews)
 {
     addEngine("e-1", addressOne, {});
@@ -167,7 +165,7 @@
     EXPECT_TRUE(take<SendCall>().empty());
 }
 
-// Guards against a table that grows with every broken answer, or that forgets the request it is there for.
+// Guards against a table that grows without bound, or that evicts a quarantined request.
 TEST_F(Quarantine, ManySuspectsPushOutNoneThatIsHeld)
 {
     addEndpoints(1);
@@ -181,7 +179,7 @@
     expectRefused(fatal);
 }
 
-// Guards against a quarantine that nobody ends: a request may be harmless once the endpoints' fault is mended.
+// Guards against a quarantine without end: the request may be harmless once the fault is fixed.
 TEST_F(Quarantine, ACrashCountsForALimitedTime)
 {
     addEndpoints(1);
--- a/tests/unit/direct_restart_test.cpp
+++ b/tests/unit/direct_restart_test.cpp
@@ -1,5 +1,4 @@
-// Endpoints that start again under the id that they had: what an entry knew of the process before, and what calls still
-// report of it, must not count for the new one.
+// Endpoints that restart under the same id: state and counters of the old process must not affect the new one.
 #include "direct_fixture.h"
 
 namespace anvilscale::test {
@@ -30,8 +29,7 @@
     }
 };
 
-// An engine crashes and starts again under its id. The store says so first. Until the sidecar has looked, callers must
-// not be sent there for an adapter that only the process before had: they would be refused, one after the other.
+// Guards against calls sent to a restarted engine for an adapter that only its previous process held.
 TEST_F(Restarts, WhatTheProcessBeforeHeldIsForgotten)
 {
     calls_.applyEndpoint(recordOf(firstBirth), now_);
@@ -39,14 +37,13 @@
     EXPECT_TRUE(calls_.applyEndpoint(recordOf(secondBirth), now_));
     arrive("/s/x", "a1");
     EXPECT_TRUE(take<SendCall>().empty());
-    tell(stateOf(firstBirth, {"a1"})); // was on its way when the engine ended
+    tell(stateOf(firstBirth, {"a1"})); // in transit when the engine terminated
     EXPECT_TRUE(take<SendCall>().empty());
     tell(stateOf(secondBirth, {"a1"}));
     EXPECT_EQ(sent().endpointId, "e-1");
 }
 
-// The sidecar sees the new process a second before the store does. Its word counts, and a record of the process before
-// that comes later, as the store lags, brings nothing back.
+// Guards against ignoring a restart reported by the sidecar, and against an outdated record that reverts it.
 TEST_F(Restarts, TheSidecarsWordOfARestartCounts)
 {
     calls_.applyEndpoint(recordOf(firstBirth), now_);
@@ -60,8 +57,7 @@
     EXPECT_TRUE(take<SendCall>().empty());
 }
 
-// Calls that ran on the process before end after the new one has begun, each with a broken connection. Counted against
-// the new process they would make callers avoid it for seconds, and let its work look negative.
+// Guards against counting broken calls of the previous process against the new one.
 TEST_F(Restarts, EndsOfCallsBeforeDoNotCountForTheNewProcess)
 {
     calls_.applyEndpoint(recordOf(firstBirth), now_);
@@ -81,8 +77,7 @@
     EXPECT_EQ(sent().endpointId, "e-1");
 }
 
-// A call waits for its adapter at an engine that starts again. Its load went with the process: the call is thought over
-// at once and not when its patience is nearly over.
+// Guards against calls that keep waiting for a load that was lost with the previous process.
 TEST_F(Restarts, CallsThatWaitThereAreThoughtOver)
 {
     calls_.applyEndpoint(recordOf(firstBirth), now_);
@@ -95,8 +90,7 @@
     EXPECT_EQ(sent().endpointId, "e-2");
 }
 
-// Connections that were kept for later calls lead to the process that is over. A call sent on one of them would be lost
-// with it, and may not be repeated.
+// Guards against sending a call on an idle connection to the terminated process.
 TEST_F(Restarts, KeptConnectionsAreDropped)
 {
     calls_.applyEndpoint(recordOf(firstBirth), now_);
@@ -107,8 +101,7 @@
     EXPECT_EQ(drops.front().address, "10.0.1.1:80");
 }
 
-// Another program writes a record of a service that nobody has configured, with an engine's address. Taken as a younger
-// process at that address it would hide the engine, and its callers would be refused for want of endpoints.
+// Guards against a record of an unconfigured service that hides the engine at the same address.
 TEST_F(Restarts, ARecordOfAnUnknownServiceHidesNoEndpoint)
 {
     calls_.applyEndpoint(recordOf(firstBirth), now_);
@@ -124,8 +117,8 @@
     EXPECT_EQ(sent().endpointId, "e-1") << "the sidecar at this address still speaks for the engine";
 }
 
-// Guards against calls to the endpoint before at an address: after a restore of the store the record of the present one
-// is created under a lower revision.
+// Guards against calls to a replaced endpoint after a store restore, which creates the new record under a lower
+// revision.
 TEST_F(Restarts, OfTwoRecordsOfOneAddressTheOneOfTheLaterEraCounts)
 {
     auto before = endpointOf("e-1", engineService, addressOne);
