--- a/include/anvilscale/direct.h
+++ b/include/anvilscale/direct.h
@@ -211,12 +211,12 @@
 struct DirectPolicy
 {
     /// Cost of a load from the weight store to other calls, in addition to its own duration.
-    double loadPriceMs = 630;
-    double homeMs = 200; ///< penalty for loading an absent adapter outside its home engine
-    double otherCentreMs = 25; ///< penalty for another data centre, whose traffic is billed
-    double failingMs = 3000; ///< for an endpoint that fails every call; less in proportion
-    double avoidedMs = 8000; ///< for an endpoint that is failing, silent or unreachable
-    std::uint32_t lateRank = 4; ///< added to the rank of a call that already misses its objective
+    double loadPenaltyMs = 630;
+    double homePenaltyMs = 200; ///< penalty for loading an absent adapter outside its home engine
+    double remoteCentrePenaltyMs = 25; ///< penalty for another data centre, whose traffic is billed
+    double failurePenaltyMs = 3000; ///< for an endpoint that fails every call; less in proportion
+    double avoidancePenaltyMs = 8000; ///< for an endpoint that is failing, silent or unreachable
+    std::uint32_t lateRankOffset = 4; ///< added to the rank of a call that already misses its objective
     std::bitset<enumCount<Mechanism>> without; ///< disabled mechanisms
 
     bool has(Mechanism mechanism) const
@@ -559,8 +559,8 @@
 class AdapterKeeper
 {
 public:
-    /// `fence` increases with each start of the sidecar.
-    explicit AdapterKeeper(std::uint64_t fence, DirectPolicy policy = {});
+    /// `fencingNumber` increases with each start of the sidecar.
+    explicit AdapterKeeper(std::uint64_t fencingNumber, DirectPolicy policy = {});
     ~AdapterKeeper();
     AdapterKeeper(const AdapterKeeper &) = delete;
     AdapterKeeper &operator=(const AdapterKeeper &) = delete;
@@ -606,16 +606,16 @@
     void entryLost(PeerHandle entry);
 
 private:
-    struct Told
+    struct Subscription
     {
         std::uint64_t sequence = 0; // of the last whole state
-        bool takesHeartbeats = false;
+        bool supportsHeartbeats = false;
     };
 
     wire::DirectState state_;
-    std::string text_; // serialized state without the figures that heartbeats carry
+    std::string serialized_; // serialized state without the figures that heartbeats carry
     std::uint64_t sequence_ = 0;
-    std::unordered_map<PeerHandle, Told> told_;
+    std::unordered_map<PeerHandle, Subscription> subscriptions_;
 };
 
 } // namespace anvilscale
--- a/src/direct/adapter_keeper.cpp
+++ b/src/direct/adapter_keeper.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 // After this time without an effect in the engine's report an accepted order counts as lost.
-constexpr Duration longestAwait = Milliseconds(1000);
+constexpr Duration maxConfirmationTime = Milliseconds(1000);
 // Work of one adapter load into a free slot, as prompt tokens.
-constexpr std::uint64_t workOfLoad = 3000;
+constexpr std::uint64_t loadWorkTokens = 3000;
 
 std::uint32_t roundUp(double ms)
 {
@@ -20,10 +20,10 @@
 
 } // namespace
 
-AdapterKeeper::AdapterKeeper(std::uint64_t fence, DirectPolicy policy)
+AdapterKeeper::AdapterKeeper(std::uint64_t fencingNumber, DirectPolicy policy)
     : impl_(std::make_unique<Impl>())
 {
-    impl_->fence = fence;
+    impl_->fencingNumber = fencingNumber;
     impl_->policy = policy;
 }
 
@@ -39,55 +39,55 @@
     if (demand.has_plan() && demand.plan().config_version() >= plan.config_version()) {
         plan = demand.plan();
     }
-    toldId = demand.endpoint_id();
+    reportedId = demand.endpoint_id();
     if (endpointId.empty() || endpointId == rejectedId) {
-        takeIncarnation(toldId);
+        applyIncarnation(reportedId);
     }
-    prompts[peer] = PromptTokens{demand.unread_tokens(), demand.waiting_tokens()};
-    auto &ofPeer = wishes[peer];
-    ofPeer.clear();
+    promptTokens[peer] = PromptTokens{demand.unread_tokens(), demand.waiting_tokens()};
+    auto &fromPeer = demands[peer];
+    fromPeer.clear();
     for (const auto &item : demand.wishes()) {
         const AdapterKey key{item.model(), item.adapter()};
-        ofPeer[key] = Wish{item.waiting(), item.in_time(), item.running(), item.least_version()};
-        touch(key, item.started(), now);
+        fromPeer[key] = AdapterDemand{item.waiting(), item.in_time(), item.running(), item.least_version()};
+        recordUse(key, item.started(), now);
     }
 }
 
-void AdapterKeeper::Impl::takeIncarnation(const std::string &id)
+void AdapterKeeper::Impl::applyIncarnation(const std::string &id)
 {
     if (id.empty() || id == rejectedId || id == endpointId) {
         return;
     }
     endpointId = id;
-    awaited.reset();
+    unconfirmedOrder.reset();
     ++revision;
 }
 
 void AdapterKeeper::peerLost(PeerHandle peer)
 {
-    impl_->wishes.erase(peer);
-    impl_->prompts.erase(peer);
+    impl_->demands.erase(peer);
+    impl_->promptTokens.erase(peer);
     ++impl_->revision;
 }
 
-AdapterKeeper::Impl::Wish AdapterKeeper::Impl::wishFor(const AdapterKey &key) const
+AdapterKeeper::Impl::AdapterDemand AdapterKeeper::Impl::totalDemand(const AdapterKey &key) const
 {
-    Wish sum;
-    for (const auto &[peer, ofPeer] : wishes) {
-        if (const auto found = ofPeer.find(key); found != ofPeer.end()) {
+    AdapterDemand sum;
+    for (const auto &[peer, fromPeer] : demands) {
+        if (const auto found = fromPeer.find(key); found != fromPeer.end()) {
             sum.waiting += found->second.waiting;
             sum.inTime += found->second.inTime;
             sum.running += found->second.running;
-            sum.leastVersion = std::max(sum.leastVersion, found->second.leastVersion);
+            sum.minVersion = std::max(sum.minVersion, found->second.minVersion);
         }
     }
     return sum;
 }
 
-AdapterKeeper::Impl::PromptTokens AdapterKeeper::Impl::promptTokens() const
+AdapterKeeper::Impl::PromptTokens AdapterKeeper::Impl::totalPromptTokens() const
 {
     PromptTokens sum;
-    for (const auto &[peer, tokens] : prompts) {
+    for (const auto &[peer, tokens] : promptTokens) {
         sum.unread += tokens.unread;
         sum.waiting += tokens.waiting;
     }
@@ -99,67 +99,68 @@
     impl_->applyReport(report, now);
 }
 
-void AdapterKeeper::Impl::applyReport(const EngineStateReport &fresh, TimePoint now)
+void AdapterKeeper::Impl::applyReport(const EngineStateReport &newReport, TimePoint now)
 {
-    const bool otherBirth = report && fresh.born != 0 && report->born != 0 && fresh.born != report->born;
-    const bool restarted = report && (otherBirth || fresh.sequence < report->sequence);
-    const bool changed = !report || !reachable || report->adapters != fresh.adapters || report->models != fresh.models
-                         || report->pending != fresh.pending || report->leaving != fresh.leaving;
+    const bool hasNewStartTime = report && newReport.born != 0 && report->born != 0 && newReport.born != report->born;
+    const bool restarted = report && (hasNewStartTime || newReport.sequence < report->sequence);
+    const bool changed = !report || !isReachable || report->adapters != newReport.adapters
+                         || report->models != newReport.models || report->pending != newReport.pending
+                         || report->leaving != newReport.leaving;
     if (restarted) {
         onRestart(now);
     }
     // The report counts the order: its effect is visible.
-    if (awaited && fresh.sequence > awaited->expected) {
-        awaited.reset();
+    if (unconfirmedOrder && newReport.sequence > unconfirmedOrder->expected) {
+        unconfirmedOrder.reset();
     }
-    if (awaited && now > notBefore + longestAwait) {
-        awaited.reset();
+    if (unconfirmedOrder && now > nextOrderAt + maxConfirmationTime) {
+        unconfirmedOrder.reset();
     }
-    noteLoads(fresh, now);
+    recordLoads(newReport, now);
     if (changed) {
         ++revision;
-        for (const auto &adapter : fresh.adapters) {
+        for (const auto &adapter : newReport.adapters) {
             const AdapterKey key{adapter.model, adapter.adapter};
-            if (held(key) == nullptr) {
-                touch(key, 0, now);
+            if (findHeld(key) == nullptr) {
+                recordUse(key, 0, now);
             }
         }
     }
-    report = fresh;
-    reachable = true;
-    leavingId = fresh.leaving ? endpointId : "";
+    report = newReport;
+    isReachable = true;
+    leavingId = newReport.leaving ? endpointId : "";
 }
 
 // The engine runs as a new process, perhaps under the same id.
 void AdapterKeeper::Impl::onRestart(TimePoint now)
 {
-    if (underWay) {
-        noteLost(*underWay, now);
-        underWay.reset();
+    if (pendingOrder) {
+        onOrderLost(*pendingOrder, now);
+        pendingOrder.reset();
     }
-    awaited.reset();
-    loads.engineRestarted();
+    unconfirmedOrder.reset();
+    loadTimes.onEngineRestarted();
     for (auto &lost : lostLoads) {
-        lost.ofEarlierStart = true;
+        lost.isFromEarlierIncarnation = true;
     }
 }
 
-void AdapterKeeper::Impl::noteLoads(const EngineStateReport &fresh, TimePoint now)
+void AdapterKeeper::Impl::recordLoads(const EngineStateReport &newReport, TimePoint now)
 {
-    if (!fresh.models.empty()) {
-        loads.modelEnded(now);
+    if (!newReport.models.empty()) {
+        loadTimes.onModelLoaded(now);
     }
-    for (const auto &adapter : fresh.adapters) {
-        loads.ended({adapter.model, adapter.adapter}, adapter.version, now);
+    for (const auto &adapter : newReport.adapters) {
+        loadTimes.onLoaded({adapter.model, adapter.adapter}, adapter.version, now);
     }
-    loads.seenHeld(fresh.adapters);
-    loads.checkOverdue(now);
+    loadTimes.recordHeld(newReport.adapters);
+    loadTimes.checkOverdue(now);
 }
 
 void AdapterKeeper::reportFailed(TimePoint /*now*/)
 {
-    impl_->revision += impl_->reachable ? 1 : 0;
-    impl_->reachable = false;
+    impl_->revision += impl_->isReachable ? 1 : 0;
+    impl_->isReachable = false;
 }
 
 void AdapterKeeper::orderEnded(OrderHandle id, EngineOrderResult result, const std::string &incarnation, TimePoint now)
@@ -172,7 +173,7 @@
     return impl_->nextOrder(now);
 }
 
-const HeldAdapter *AdapterKeeper::Impl::held(const AdapterKey &key) const
+const HeldAdapter *AdapterKeeper::Impl::findHeld(const AdapterKey &key) const
 {
     if (!report) {
         return nullptr;
@@ -195,7 +196,7 @@
     return std::find(report->models.begin(), report->models.end(), model) != report->models.end();
 }
 
-const wire::EngineModel *AdapterKeeper::Impl::sizeOf(const std::string &model) const
+const wire::EngineModel *AdapterKeeper::Impl::findModelSize(const std::string &model) const
 {
     for (const auto &size : plan.models()) {
         if (size.name() == model) {
@@ -209,34 +210,34 @@
 {
     double sum = 0;
     for (const auto &model : report->models) {
-        const auto *size = sizeOf(model);
+        const auto *size = findModelSize(model);
         sum += size == nullptr ? 0 : size->weights_mb();
     }
     for (const auto *list : {&report->adapters, &report->pending}) {
         for (const auto &adapter : *list) {
-            const auto *size = sizeOf(adapter.model);
+            const auto *size = findModelSize(adapter.model);
             sum += size == nullptr ? 0 : size->adapter_mb();
         }
     }
     return sum;
 }
 
-std::map<AdapterKeeper::Impl::AdapterKey, bool> AdapterKeeper::Impl::awaitedAdapters() const
+std::map<AdapterKeeper::Impl::AdapterKey, bool> AdapterKeeper::Impl::findAwaitedAdapters() const
 {
     std::map<AdapterKey, bool> ahead;
-    for (const auto &[peer, ofPeer] : wishes) {
-        for (const auto &[key, wish] : ofPeer) {
-            if (wish.waiting != 0 && held(key) == nullptr && !isPending(key)) {
-                ahead[key] = ahead[key] || wish.inTime != 0;
+    for (const auto &[peer, fromPeer] : demands) {
+        for (const auto &[key, demand] : fromPeer) {
+            if (demand.waiting != 0 && findHeld(key) == nullptr && !isPending(key)) {
+                ahead[key] = ahead[key] || demand.inTime != 0;
             }
         }
     }
     return ahead;
 }
 
-void AdapterKeeper::Impl::tellLoadsAhead(wire::DirectState &state) const
+void AdapterKeeper::Impl::addLoadsAhead(wire::DirectState &state) const
 {
-    const auto ahead = awaitedAdapters();
+    const auto ahead = findAwaitedAdapters();
     for (const auto &[key, inTime] : ahead) {
         auto &item = *state.add_awaited();
         item.set_model(key.first);
@@ -247,20 +248,20 @@
     state.set_loads_in_time(static_cast<std::uint32_t>(inTime));
 }
 
-void AdapterKeeper::Impl::tellLoadTimes(wire::DirectState &state) const
+void AdapterKeeper::Impl::addLoadTimes(wire::DirectState &state) const
 {
-    state.set_loads_at_once(static_cast<std::uint32_t>(loadsAtOnce()));
+    state.set_loads_at_once(static_cast<std::uint32_t>(maxConcurrentLoads()));
     if (!policy.has(Mechanism::LearnedLoads)) {
         return;
     }
-    state.set_load_ms(roundUp(loads.usualMs()));
-    state.set_recent_load_ms(roundUp(loads.recentMs()));
-    state.set_copy_ms(roundUp(loads.copyMs()));
-    state.set_model_ms(roundUp(loads.modelMs()));
-    state.set_copies(static_cast<std::uint32_t>(loads.copies()));
+    state.set_load_ms(roundUp(loadTimes.idleStoreMs()));
+    state.set_recent_load_ms(roundUp(loadTimes.recentStoreMs()));
+    state.set_copy_ms(roundUp(loadTimes.copyMs()));
+    state.set_model_ms(roundUp(loadTimes.modelMs()));
+    state.set_copies(static_cast<std::uint32_t>(loadTimes.copyCount()));
 }
 
-void AdapterKeeper::Impl::tellAdapters(wire::DirectState &state, TimePoint now) const
+void AdapterKeeper::Impl::addAdapters(wire::DirectState &state, TimePoint now) const
 {
     const auto add = [&state, now, this](const HeldAdapter &adapter, bool loading) {
         auto &item = *state.add_adapters();
@@ -268,17 +269,17 @@
         item.set_adapter(adapter.adapter);
         item.set_version(adapter.version);
         item.set_loading(loading);
-        const auto wish = wishFor({adapter.model, adapter.adapter});
+        const auto demand = totalDemand({adapter.model, adapter.adapter});
         item.set_recent_calls(recentCalls({adapter.model, adapter.adapter}, now));
-        item.set_in_use(wish.running != 0 && adapter.version < wish.leastVersion);
+        item.set_in_use(demand.running != 0 && adapter.version < demand.minVersion);
     };
     std::uint32_t idle = 0;
     for (const auto &adapter : report->adapters) {
         const AdapterKey key{adapter.model, adapter.adapter};
-        const auto wish = wishFor(key);
-        const bool evicting = underWay && underWay->kind == EngineOrderKind::Unload && underWay->model == key.first
-                              && underWay->adapter == key.second;
-        idle += wish.running == 0 && wish.waiting == 0 ? 1 : 0;
+        const auto demand = totalDemand(key);
+        const bool evicting = pendingOrder && pendingOrder->kind == EngineOrderKind::Unload
+                              && pendingOrder->model == key.first && pendingOrder->adapter == key.second;
+        idle += demand.running == 0 && demand.waiting == 0 ? 1 : 0;
         if (!evicting) {
             add(adapter, false);
         }
@@ -294,14 +295,14 @@
 wire::DirectState AdapterKeeper::Impl::state(TimePoint now) const
 {
     wire::DirectState state;
-    const auto tokens = promptTokens();
+    const auto tokens = totalPromptTokens();
     state.set_endpoint_id(endpointId);
-    state.set_entries(static_cast<std::uint32_t>(wishes.size()));
-    state.set_reachable(reachable);
+    state.set_entries(static_cast<std::uint32_t>(demands.size()));
+    state.set_reachable(isReachable);
     state.set_slots(plan.adapter_slots());
     state.set_unread_tokens(tokens.unread);
     state.set_waiting_tokens(tokens.waiting);
-    tellLoadTimes(state);
+    addLoadTimes(state);
     if (!report) {
         return state;
     }
@@ -310,8 +311,8 @@
     for (const auto &model : report->models) {
         state.add_models(model);
     }
-    tellAdapters(state, now);
-    tellLoadsAhead(state);
+    addAdapters(state, now);
+    addLoadsAhead(state);
     return state;
 }
 
@@ -327,21 +328,21 @@
 
 bool AdapterKeeper::waits() const
 {
-    return impl_->underWay || impl_->awaited;
+    return impl_->pendingOrder || impl_->unconfirmedOrder;
 }
 
 bool AdapterKeeper::waitsFor(PeerHandle peer) const
 {
-    const auto found = impl_->wishes.find(peer);
-    return found != impl_->wishes.end()
+    const auto found = impl_->demands.find(peer);
+    return found != impl_->demands.end()
            && std::any_of(found->second.begin(), found->second.end(),
-                          [](const auto &wish) { return wish.second.waiting != 0; });
+                          [](const auto &demand) { return demand.second.waiting != 0; });
 }
 
 std::uint64_t AdapterKeeper::pendingWork() const
 {
-    const auto tokens = impl_->promptTokens();
-    return tokens.unread + tokens.waiting + workOfLoad * impl_->awaitedAdapters().size();
+    const auto tokens = impl_->totalPromptTokens();
+    return tokens.unread + tokens.waiting + loadWorkTokens * impl_->findAwaitedAdapters().size();
 }
 
 std::uint64_t AdapterKeeper::revision() const
--- a/src/direct/call_ends.cpp
+++ b/src/direct/call_ends.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // A call sent with less time left would be cut off before its first byte.
-constexpr Duration leastTimeToSend = Milliseconds(30);
+constexpr Duration minTimeToSend = Milliseconds(30);
 
 } // namespace
 
@@ -24,47 +24,47 @@
     call.longestPause = result.longestPause;
     if (result.end != AttemptEnd::Answered) {
         impl.failedAttempts.push_back(
-            {call.facts.requestId, call.facts.fingerprint, attempt, call.endpointId, result, now - call.stepSince});
+            {call.info.requestId, call.info.fingerprint, attempt, call.endpointId, result, now - call.stepStartedAt});
     }
     const bool failed = result.end == AttemptEnd::Unreachable || result.end == AttemptEnd::Broken;
-    impl.leaveEndpoint(handle, call, failed, now);
+    impl.detachFromEndpoint(handle, call, failed, now);
     call.step = CallStep::Waiting; // at no endpoint until the next decision
     switch (result.end) {
     case AttemptEnd::Answered:
-        impl.quarantine.answered(call.facts.fingerprint);
-        impl.learnRun(call, now);
-        impl.end(handle, EndedOutcome::Answered, "", result.status, now);
+        impl.quarantine.onAnswered(call.info.fingerprint);
+        impl.recordRun(call, now);
+        impl.finishCall(handle, EndedOutcome::Answered, "", result.status, now);
         return;
     case AttemptEnd::Refused:
         impl.stats.endpointRefusals.add(result.refusal);
         impl.onRefused(handle, call, result.refusal, now);
         return;
     case AttemptEnd::Unreachable:
-        call.tried.insert(call.endpointId);
+        call.excludedIds.insert(call.endpointId);
         impl.stats.retries.add(RetryReason::SidecarLost);
-        impl.route(handle, call, now);
+        impl.routeCall(handle, call, now);
         return;
     case AttemptEnd::OwnFailure:
-        ++call.ranAt;
-        call.tried.insert(call.endpointId);
-        if (call.repeatable() && call.ranAt < call.maxEndpoints && impl.mayRetry(call, now)) {
+        ++call.executionCount;
+        call.excludedIds.insert(call.endpointId);
+        if (call.isRepeatable() && call.executionCount < call.maxEndpoints && impl.mayRetry(call, now)) {
             impl.stats.retries.add(RetryReason::EngineFailed);
-            impl.route(handle, call, now);
+            impl.routeCall(handle, call, now);
             return;
         }
         impl.actions.emplace_back(PassAnswer{handle});
-        impl.end(handle, EndedOutcome::OwnFailure, toString(result.end), result.status, now);
+        impl.finishCall(handle, EndedOutcome::OwnFailure, toString(result.end), result.status, now);
         return;
     case AttemptEnd::Broken:
     case AttemptEnd::Count:
         break;
     }
-    impl.quarantine.brokenOff(call.facts.fingerprint, call.endpointId, call.endpointBorn, now);
-    ++call.ranAt;
-    call.tried.insert(call.endpointId);
-    const bool again = call.repeatable() && !result.callerHasBytes && call.ranAt < call.maxEndpoints;
+    impl.quarantine.onCallBroken(call.info.fingerprint, call.endpointId, call.endpointStartTimeMs, now);
+    ++call.executionCount;
+    call.excludedIds.insert(call.endpointId);
+    const bool again = call.isRepeatable() && !result.callerHasBytes && call.executionCount < call.maxEndpoints;
     if (again) {
-        impl.retryOrGiveUp(handle, call, RetryReason::BrokenAnswer, RefusalReason::RetryBudgetSpent, now);
+        impl.retryOrRefuse(handle, call, RetryReason::BrokenAnswer, RefusalReason::RetryBudgetSpent, now);
         return;
     }
     impl.abandon(handle, FailureReason::EndpointCut, now);
@@ -72,13 +72,13 @@
 
 void DirectCalls::Impl::onRefused(CallHandle handle, DirectCall &call, EndpointRefusal refusal, TimePoint now)
 {
-    if (refusal == EndpointRefusal::OtherIncarnation && endpointOf(call) != nullptr) {
-        forgetEndpoint(*endpointOf(call), now); // its address belongs to another incarnation
+    if (refusal == EndpointRefusal::OtherIncarnation && findEndpoint(call) != nullptr) {
+        dropEndpoint(*findEndpoint(call), now); // its address belongs to another incarnation
     }
     if (refusal == EndpointRefusal::NotLoaded) {
         // The adapter was removed or has an older version: drops it from the known state, so that it is demanded
         // again.
-        if (auto *entry = endpointOf(call); entry != nullptr && entry->state) {
+        if (auto *entry = findEndpoint(call); entry != nullptr && entry->state) {
             auto &held = *entry->state->mutable_adapters();
             const auto name = call.adapterName();
             held.erase(std::remove_if(held.begin(), held.end(),
@@ -88,50 +88,50 @@
                        held.end());
         }
     } else {
-        call.tried.insert(call.endpointId);
+        call.excludedIds.insert(call.endpointId);
     }
-    retryOrGiveUp(handle, call, RetryReason::Refused, RefusalReason::QueueFull, now);
+    retryOrRefuse(handle, call, RetryReason::Refused, RefusalReason::QueueFull, now);
 }
 
 bool DirectCalls::Impl::mayRetry(const DirectCall &call, TimePoint now)
 {
-    return now + leastTimeToSend < call.cutAt && retries[call.service].take();
+    return now + minTimeToSend < call.cutOffAt && retryAllowances[call.service].tryTake();
 }
 
-void DirectCalls::Impl::retryOrGiveUp(CallHandle handle, DirectCall &call, RetryReason why, RefusalReason otherwise,
+void DirectCalls::Impl::retryOrRefuse(CallHandle handle, DirectCall &call, RetryReason why, RefusalReason otherwise,
                                       TimePoint now)
 {
     if (!mayRetry(call, now)) {
-        giveUp(handle, call, otherwise, returnTime(call.service, now), now);
+        refuseOrAbandon(handle, call, otherwise, timeUntilAvailable(call.service, now), now);
         return;
     }
     stats.retries.add(why);
-    route(handle, call, now);
+    routeCall(handle, call, now);
 }
 
-Duration DirectCalls::Impl::returnTime(const std::string &service, TimePoint now) const
+Duration DirectCalls::Impl::timeUntilAvailable(const std::string &service, TimePoint now) const
 {
     std::optional<TimePoint> soonest;
-    for (const auto &[id, entry] : endpoints.all()) {
-        if (entry.record.service != service || entry.leaves(now) || entry.superseded) {
+    for (const auto &[id, entry] : endpoints.entries()) {
+        if (entry.record.service != service || entry.isLeaving(now) || entry.isSuperseded) {
             continue;
         }
-        if (!entry.pauses(now)) {
-            return usualRetryAfter;
+        if (!entry.isPaused(now)) {
+            return defaultRetryAfter;
         }
         soonest = soonest ? std::min(*soonest, entry.pausedUntil) : entry.pausedUntil;
     }
-    return soonest ? *soonest - now : usualRetryAfter;
+    return soonest ? *soonest - now : defaultRetryAfter;
 }
 
-void DirectCalls::Impl::giveUp(CallHandle handle, DirectCall &call, RefusalReason reason, Duration retryAfter,
-                               TimePoint now)
+void DirectCalls::Impl::refuseOrAbandon(CallHandle handle, DirectCall &call, RefusalReason reason, Duration retryAfter,
+                                        TimePoint now)
 {
-    if (call.ranAt != 0) {
+    if (call.executionCount != 0) {
         abandon(handle, FailureReason::EndpointCut, now);
         return;
     }
-    refuse(handle, unavailable, reason, retryAfter, now);
+    refuse(handle, statusUnavailable, reason, retryAfter, now);
 }
 
 void DirectCalls::Impl::refuse(CallHandle handle, std::uint32_t status, RefusalReason reason, Duration retryAfter,
@@ -139,28 +139,28 @@
 {
     stats.refusals.add(reason);
     actions.emplace_back(RefuseCall{handle, status, retryAfter, reason});
-    end(handle, EndedOutcome::Refused, toString(reason), 0, now);
+    finishCall(handle, EndedOutcome::Refused, toString(reason), 0, now);
 }
 
 void DirectCalls::Impl::abandon(CallHandle handle, FailureReason reason, TimePoint now)
 {
     actions.emplace_back(AbandonCall{handle, reason});
-    end(handle, EndedOutcome::Abandoned, toString(reason), 0, now);
+    finishCall(handle, EndedOutcome::Abandoned, toString(reason), 0, now);
 }
 
-void DirectCalls::Impl::end(CallHandle handle, EndedOutcome outcome, std::string_view reason, std::uint32_t status,
-                            TimePoint now)
+void DirectCalls::Impl::finishCall(CallHandle handle, EndedOutcome outcome, std::string_view reason,
+                                   std::uint32_t status, TimePoint now)
 {
     const auto node = calls.extract(handle);
     const auto &call = node.mapped();
     EndedCall done;
-    done.requestId = call.facts.requestId;
-    done.fingerprint = call.facts.fingerprint;
+    done.requestId = call.info.requestId;
+    done.fingerprint = call.info.fingerprint;
     done.outcome = outcome;
     done.reason = reason;
     done.status = status;
     done.service = call.service;
-    done.adapter = call.facts.adapter;
+    done.adapter = call.info.adapter;
     done.endpointId = call.endpointId;
     done.attempts = call.attempt;
     done.configVersion = config ? config->version : 0;
@@ -170,10 +170,10 @@
     done.adapterWait = call.adapterWait;
     done.firstByte = call.firstByte;
     done.longestPause = call.longestPause;
-    done.promptTokens = call.facts.promptTokens;
-    done.total = now - call.arrived;
-    done.patience = call.facts.patience;
-    ended.push_back(std::move(done));
+    done.promptTokens = call.info.promptTokens;
+    done.total = now - call.arrivedAt;
+    done.patience = call.info.patience;
+    endedCalls.push_back(std::move(done));
 }
 
 void DirectCalls::callerGone(CallHandle handle, TimePoint now)
@@ -183,8 +183,8 @@
         return;
     }
     const bool failed = false;
-    impl_->leaveEndpoint(handle, found->second, failed, now);
-    impl_->end(handle, EndedOutcome::CallerGone, toString(FailureReason::CallerGone), 0, now);
+    impl_->detachFromEndpoint(handle, found->second, failed, now);
+    impl_->finishCall(handle, EndedOutcome::CallerGone, toString(FailureReason::CallerGone), 0, now);
 }
 
 } // namespace anvilscale
--- a/src/direct/call_fingerprint.cpp
+++ b/src/direct/call_fingerprint.cpp
@@ -27,11 +27,11 @@
 }
 
 CallFingerprint fingerprintOf(std::string_view method, std::string_view target, std::string_view body,
-                              const CallFacts &facts)
+                              const CallFacts &info)
 {
     auto value = hash64(method);
     for (const auto part :
-         {std::string_view(facts.host), target, std::string_view(facts.model), std::string_view(facts.adapter), body}) {
+         {std::string_view(info.host), target, std::string_view(info.model), std::string_view(info.adapter), body}) {
         value = hash64(part, value);
     }
     return CallFingerprint{value};
--- a/src/direct/call_learning.cpp
+++ b/src/direct/call_learning.cpp
@@ -8,54 +8,54 @@
 namespace {
 
 // Usable share of the retry slack of all entries; the rest is reserved for entries that sidecars do not count yet.
-constexpr double slackUsed = 0.7;
+constexpr double usableSlackShare = 0.7;
 
 } // namespace
 
-void DirectCalls::Impl::learnFirstByte(const DirectCall &call, EndpointEntry &entry, TimePoint now)
+void DirectCalls::Impl::recordFirstByte(const DirectCall &call, EndpointEntry &entry, TimePoint now)
 {
-    auto &service = learned[call.service];
-    const auto took = now - call.stepSince;
-    service.firstByteMs.add(milliseconds(took));
-    if (!call.engine) {
+    auto &service = estimates[call.service];
+    const auto elapsed = now - call.stepStartedAt;
+    service.firstByteMs.add(milliseconds(elapsed));
+    if (!call.isEngine) {
         return;
     }
-    entry.countFirstByte(took, call.reading, now);
+    entry.recordFirstByte(elapsed, call.readingTime, now);
     // With much other work ahead, the time does not show the reading speed of one prompt.
-    const bool clear = call.tokensAhead <= call.freshTokens;
-    if (clear && init.policy.has(Mechanism::LearnedReading)) {
-        service.reading.add(call.tokensAhead + call.freshTokens, call.freshTokens, took);
+    const bool isUndisturbed = call.tokensAhead <= call.uncachedTokens;
+    if (isUndisturbed && init.policy.has(Mechanism::LearnedReading)) {
+        service.reading.add(call.tokensAhead + call.uncachedTokens, call.uncachedTokens, elapsed);
     }
 }
 
-void DirectCalls::Impl::learnRun(const DirectCall &call, TimePoint now)
+void DirectCalls::Impl::recordRun(const DirectCall &call, TimePoint now)
 {
-    auto &service = learned[call.service];
-    if (call.engine) {
-        service.runMs.add(milliseconds(now - call.stepSince));
-    } else if (call.alone) {
-        service.plainMs.add(milliseconds(now - call.stepSince));
+    auto &service = estimates[call.service];
+    if (call.isEngine) {
+        service.runMs.add(milliseconds(now - call.stepStartedAt));
+    } else if (call.wasOnlyCall) {
+        service.plainRunMs.add(milliseconds(now - call.stepStartedAt));
     }
 }
 
 // Rank of the call at the engine, lower ranks first. A call that would be late even at an idle engine gets a higher
 // rank, so that calls that can meet their objective do not wait behind it.
-std::uint32_t DirectCalls::Impl::rankOf(const DirectCall &call, TimePoint now)
+std::uint32_t DirectCalls::Impl::computeRank(const DirectCall &call, TimePoint now)
 {
-    const auto alone = fromMilliseconds(learned[call.service].reading.aloneMs(call.unreadTokens));
-    const bool late = call.engine && now + alone > call.arrived + call.objective;
-    return call.priority + (late && init.policy.has(Mechanism::LateRank) ? init.policy.lateRank : 0);
+    const auto idleEngineTime = fromMilliseconds(estimates[call.service].reading.idleEngineMs(call.unreadTokens));
+    const bool isLate = call.isEngine && now + idleEngineTime > call.arrivedAt + call.objective;
+    return call.priority + (isLate && init.policy.has(Mechanism::LateRank) ? init.policy.lateRankOffset : 0);
 }
 
 // Sidecars report how many entries share the allowance.
-void DirectCalls::Impl::shareRetries(TimePoint now)
+void DirectCalls::Impl::updateRetryShare(TimePoint now)
 {
     std::uint32_t entries = 0;
-    for (const auto &[id, entry] : endpoints.all()) {
-        entries = entry.stateFresh(now) ? std::max(entries, entry.state->entries()) : entries;
+    for (const auto &[id, entry] : endpoints.entries()) {
+        entries = entry.hasFreshState(now) ? std::max(entries, entry.state->entries()) : entries;
     }
     if (entries != 0 && init.retrySlack > 0) {
-        retriesSaved = std::max(1.0, slackUsed * init.retrySlack / entries);
+        maxRetryBalance = std::max(1.0, usableSlackShare * init.retrySlack / entries);
     }
 }
 
--- a/src/direct/direct_calls.cpp
+++ b/src/direct/direct_calls.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-constexpr std::uint32_t notFound = 404;
+constexpr std::uint32_t statusNotFound = 404;
 // Upper bound: estimates beyond it do not predict when capacity is available.
-constexpr Duration longestRetryAfter = Seconds(2);
+constexpr Duration maxRetryAfter = Seconds(2);
 // Time after the first configuration for sidecars to report what their engines hold.
-constexpr Duration sidecarsTime = Milliseconds(1500);
+constexpr Duration sidecarReportTimeout = Milliseconds(1500);
 // A waiting call is placed again after the time of this many loads, or 1.5 times its estimate, whichever is longer.
-constexpr int loadsThought = 4;
-constexpr int waitsThought = 3; // in halves of the estimate
+constexpr int reevaluationLoads = 4;
+constexpr int reevaluationHalfEstimates = 3; // in halves of the estimate
 
-void lower(std::uint32_t &count)
+void decrement(std::uint32_t &count)
 {
     count -= count == 0 ? 0 : 1;
 }
@@ -73,96 +73,96 @@
     for (const auto &service : config.services) {
         services.insert(service.name);
     }
-    impl_->endpoints.nameServices(std::move(services));
+    impl_->endpoints.setServices(std::move(services));
     return true;
 }
 
-void DirectCalls::arrive(CallHandle handle, CallFacts facts, TimePoint now)
+void DirectCalls::arrive(CallHandle handle, CallFacts info, TimePoint now)
 {
     auto &impl = *impl_;
     ++impl.stats.calls;
-    const auto *route = impl.config ? impl.routes.find(facts.host, facts.path) : nullptr;
+    const auto *route = impl.config ? impl.routes.find(info.host, info.path) : nullptr;
     if (route == nullptr) {
-        impl.calls[handle].facts = std::move(facts);
-        impl.calls[handle].arrived = now;
+        impl.calls[handle].info = std::move(info);
+        impl.calls[handle].arrivedAt = now;
         if (impl.config) {
-            impl.refuse(handle, notFound, RefusalReason::UnknownRoute, Duration(0), now);
+            impl.refuse(handle, statusNotFound, RefusalReason::UnknownRoute, Duration(0), now);
         } else {
-            impl.refuse(handle, unavailable, RefusalReason::NotConfigured, usualRetryAfter, now);
+            impl.refuse(handle, statusUnavailable, RefusalReason::NotConfigured, defaultRetryAfter, now);
         }
         return;
     }
     DirectCall call;
-    call.service = pickService(*route, facts.requestId);
+    call.service = pickService(*route, info.requestId);
     const auto *service = impl.config->service(call.service);
-    call.engine = service != nullptr && service->engine.has_value();
+    call.isEngine = service != nullptr && service->engine.has_value();
     call.repeat = route->repeat;
-    call.resumable = route->resumable;
+    call.isResumable = route->resumable;
     call.priority = route->priority;
     call.maxEndpoints = std::max<std::uint32_t>(1, route->maxEndpoints);
     call.objective = route->objective;
-    call.arrived = now;
-    call.deadline = now + facts.patience;
-    call.cutAt = std::min(call.deadline, now + route->timeout);
+    call.arrivedAt = now;
+    call.deadline = now + info.patience;
+    call.cutOffAt = std::min(call.deadline, now + route->timeout);
     const bool limited = route->firstByteLimit > Duration(0);
     call.firstByteBy = limited ? std::min(call.deadline, now + route->firstByteLimit) : call.deadline;
-    call.facts = std::move(facts);
-    impl.retries[call.service].countFirst(impl.init.retryRatio, impl.retriesSaved);
-    if (call.engine) {
-        ++impl.modelUse[call.facts.model];
+    call.info = std::move(info);
+    impl.retryAllowances[call.service].onFirstAttempt(impl.init.retryRatio, impl.maxRetryBalance);
+    if (call.isEngine) {
+        ++impl.callsByModel[call.info.model];
     }
     auto &stored = impl.calls.insert_or_assign(handle, std::move(call)).first->second;
-    impl.route(handle, stored, now);
+    impl.routeCall(handle, stored, now);
 }
 
-EndpointEntry *DirectCalls::Impl::endpointOf(const DirectCall &call)
+EndpointEntry *DirectCalls::Impl::findEndpoint(const DirectCall &call)
 {
     auto *entry = endpoints.find(call.endpointId);
-    return entry != nullptr && entry->life == call.endpointLife ? entry : nullptr;
+    return entry != nullptr && entry->generation == call.endpointGeneration ? entry : nullptr;
 }
 
 std::uint32_t DirectCalls::Impl::namedVersion(const AdapterName &name) const
 {
-    const auto found = versions.find(name);
-    return found == versions.end() ? 0 : found->second;
+    const auto found = namedVersions.find(name);
+    return found == namedVersions.end() ? 0 : found->second;
 }
 
-ChoiceQuery DirectCalls::Impl::queryFor(const DirectCall &call, TimePoint now)
+ChoiceQuery DirectCalls::Impl::buildQuery(const DirectCall &call, TimePoint now)
 {
     ChoiceQuery query;
-    query.facts = &call.facts;
+    query.info = &call.info;
     query.service = &call.service;
-    query.engine = call.engine;
-    query.leastVersion = namedVersion(call.adapterName());
-    const auto *model = config->model(call.service, call.facts.model);
+    query.isEngine = call.isEngine;
+    query.minVersion = namedVersion(call.adapterName());
+    const auto *model = config->model(call.service, call.info.model);
     query.modelReload = model == nullptr ? Duration(0) : model->reload;
-    query.inTime = now < call.arrived + call.objective;
-    query.exclude = &call.tried;
+    query.canMeetObjective = now < call.arrivedAt + call.objective;
+    query.excludedIds = &call.excludedIds;
     query.dataCentre = init.dataCentre;
     query.objective = call.objective;
-    query.learned = &learned[call.service];
+    query.estimates = &estimates[call.service];
     query.policy = &init.policy;
-    query.heard = endpoints.lastHeard();
+    query.lastReceivedAt = endpoints.lastReceivedAt();
     return query;
 }
 
-bool DirectCalls::Impl::stopQuarantined(CallHandle handle, DirectCall &call, TimePoint now)
+bool DirectCalls::Impl::stopIfQuarantined(CallHandle handle, DirectCall &call, TimePoint now)
 {
-    if (!quarantine.holds(call.facts.fingerprint, now)) {
+    if (!quarantine.isQuarantined(call.info.fingerprint, now)) {
         return false;
     }
-    giveUp(handle, call, RefusalReason::RequestQuarantined, Duration(0), now);
+    refuseOrAbandon(handle, call, RefusalReason::RequestQuarantined, Duration(0), now);
     return true;
 }
 
-void DirectCalls::Impl::route(CallHandle handle, DirectCall &call, TimePoint now)
+void DirectCalls::Impl::routeCall(CallHandle handle, DirectCall &call, TimePoint now)
 {
-    if (stopQuarantined(handle, call, now)) {
+    if (stopIfQuarantined(handle, call, now)) {
         return;
     }
-    const auto choice = chooseEndpoint(endpoints, queryFor(call, now), now);
+    const auto choice = chooseEndpoint(endpoints, buildQuery(call, now), now);
     if (!choice) {
-        giveUp(handle, call, RefusalReason::NoEndpoint, returnTime(call.service, now), now);
+        refuseOrAbandon(handle, call, RefusalReason::NoEndpoint, timeUntilAvailable(call.service, now), now);
         return;
     }
     call.endpointId = choice->endpointId;
@@ -170,85 +170,86 @@
     // Refuses at once if the answer would come after the caller has left, so that the caller can return when there is
     // capacity. Only confirmed times count: a default value refuses no call.
     const bool refuses = init.policy.has(Mechanism::EarlyRefusal);
-    if (refuses && now + choice->certain > call.firstByteBy) {
+    if (refuses && now + choice->confirmedFirstByte > call.firstByteBy) {
         const auto excess = choice->firstByte - call.objective;
-        giveUp(handle, call, RefusalReason::DeadlineUnreachable, std::clamp(excess, usualRetryAfter, longestRetryAfter),
-               now);
+        refuseOrAbandon(handle, call, RefusalReason::DeadlineUnreachable,
+                        std::clamp(excess, defaultRetryAfter, maxRetryAfter), now);
         return;
     }
-    place(handle, call, *choice, now);
+    placeCall(handle, call, *choice, now);
 }
 
-void DirectCalls::Impl::place(CallHandle handle, DirectCall &call, const Choice &choice, TimePoint now)
+void DirectCalls::Impl::placeCall(CallHandle handle, DirectCall &call, const Choice &choice, TimePoint now)
 {
-    call.freshTokens = choice.freshTokens;
+    call.uncachedTokens = choice.uncachedTokens;
     call.unreadTokens = choice.unreadTokens;
-    call.reading = choice.reading;
-    call.checkAt = now;
-    call.thinkAgainAt = now + std::max(loadsThought * choice.load, waitsThought * choice.firstByte / 2);
-    call.stepSince = now;
+    call.readingTime = choice.readingTime;
+    call.nextCheckAt = now;
+    call.reevaluateAt =
+        now + std::max(reevaluationLoads * choice.loadTime, reevaluationHalfEstimates * choice.firstByte / 2);
+    call.stepStartedAt = now;
     const auto &chosen = *endpoints.find(choice.endpointId);
-    call.endpointLife = chosen.life;
-    call.endpointBorn = chosen.record.born;
+    call.endpointGeneration = chosen.generation;
+    call.endpointStartTimeMs = chosen.record.born;
     call.storeAge = now - storeAnsweredAt;
-    call.stateAge = chosen.state ? now - chosen.stateAt : Duration(-1);
-    if (call.engine && choice.presence != Presence::Resident) {
-        wait(handle, call, now);
+    call.stateAge = chosen.state ? now - chosen.stateReceivedAt : Duration(-1);
+    if (call.isEngine && choice.presence != Presence::Resident) {
+        waitForAdapter(handle, call, now);
         return;
     }
-    send(handle, call, now);
+    sendCall(handle, call, now);
 }
 
-void DirectCalls::Impl::wait(CallHandle handle, DirectCall &call, TimePoint now)
+void DirectCalls::Impl::waitForAdapter(CallHandle handle, DirectCall &call, TimePoint now)
 {
     call.step = CallStep::Waiting;
     auto &entry = *endpoints.find(call.endpointId);
-    entry.waiting.insert(handle);
-    ++entry.waitingOn[call.adapterName()];
+    entry.waitingCalls.insert(handle);
+    ++entry.waitingByAdapter[call.adapterName()];
     entry.waitingTokens += call.unreadTokens;
-    entry.changed = true;
+    entry.hasDemandChanged = true;
     ++stats.waitedForAdapter;
-    tellSidecar(entry, now);
+    sendDemand(entry, now);
 }
 
 void DirectCalls::Impl::stopWaiting(EndpointEntry &entry, CallHandle handle, DirectCall &call, TimePoint now)
 {
-    if (entry.waiting.erase(handle) != 0) {
-        entry.changed = true;
-        removeOne(entry.waitingOn, call.adapterName());
+    if (entry.waitingCalls.erase(handle) != 0) {
+        entry.hasDemandChanged = true;
+        removeOne(entry.waitingByAdapter, call.adapterName());
         entry.waitingTokens = std::max(0.0, entry.waitingTokens - call.unreadTokens);
-        call.adapterWait += now - call.stepSince;
+        call.adapterWait += now - call.stepStartedAt;
     }
 }
 
-void DirectCalls::Impl::send(CallHandle handle, DirectCall &call, TimePoint now)
+void DirectCalls::Impl::sendCall(CallHandle handle, DirectCall &call, TimePoint now)
 {
     auto &entry = *endpoints.find(call.endpointId);
     const auto name = call.adapterName();
     call.step = CallStep::Sent;
-    call.stepSince = now;
-    call.began = false;
+    call.stepStartedAt = now;
+    call.hasFirstByte = false;
     ++call.attempt;
     // Requests the version published by the operator, so that an engine with an older one refuses the call.
-    const auto query = queryFor(call, now);
-    const auto named = query.leastVersion;
+    const auto query = buildQuery(call, now);
+    const auto named = query.minVersion;
     call.version = named == 0 ? 0 : std::max(named, entry.heldVersion(name, now));
-    entry.changed = true;
-    const auto &reading = query.learned->reading;
+    entry.hasDemandChanged = true;
+    const auto &reading = query.estimates->reading;
     const double backlog = WaitForecast(entry, query, now).backlogMs();
     call.tokensAhead = backlog / reading.msPerToken();
-    call.reading = fromMilliseconds(backlog + reading.aloneMs(call.unreadTokens));
-    call.alone = entry.inFlight == 0;
+    call.readingTime = fromMilliseconds(backlog + reading.idleEngineMs(call.unreadTokens));
+    call.wasOnlyCall = entry.inFlight == 0;
     ++entry.inFlight;
-    if (entry.unanswered++ == 0) {
-        entry.oldestSilence = now;
+    if (entry.awaitingFirstByte++ == 0) {
+        entry.silentSince = now;
     }
     entry.unreadTokens += call.unreadTokens;
-    if (call.engine) {
-        entry.newlyRunning = entry.newlyRunning || entry.runningOn.count(name) == 0;
-        ++entry.runningOn[name];
-        ++entry.startedOn[name];
-        tellSidecar(entry, now);
+    if (call.isEngine) {
+        entry.hasUnsentRun = entry.hasUnsentRun || entry.runningByAdapter.count(name) == 0;
+        ++entry.runningByAdapter[name];
+        ++entry.startedByAdapter[name];
+        sendDemand(entry, now);
     }
     ++stats.sent;
     SendCall action;
@@ -256,16 +257,16 @@
     action.attempt = call.attempt;
     action.endpointId = entry.record.id;
     action.address = entry.record.address;
-    action.priority = rankOf(call, now);
+    action.priority = computeRank(call, now);
     action.version = call.version;
     action.deadline = call.deadline;
-    action.holdAnswer = call.repeatable() && call.ranAt + 1 < call.maxEndpoints;
+    action.holdAnswer = call.isRepeatable() && call.executionCount + 1 < call.maxEndpoints;
     actions.emplace_back(std::move(action));
 }
 
-void DirectCalls::Impl::leaveEndpoint(CallHandle handle, DirectCall &call, bool failed, TimePoint now)
+void DirectCalls::Impl::detachFromEndpoint(CallHandle handle, DirectCall &call, bool failed, TimePoint now)
 {
-    auto *entry = endpointOf(call);
+    auto *entry = findEndpoint(call);
     if (entry == nullptr) {
         return; // the process has terminated, and its counters were reset
     }
@@ -273,32 +274,32 @@
         stopWaiting(*entry, handle, call, now);
         return;
     }
-    entry->changed = true;
-    lower(entry->inFlight);
-    if (!call.began) {
-        lower(entry->unanswered);
+    entry->hasDemandChanged = true;
+    decrement(entry->inFlight);
+    if (!call.hasFirstByte) {
+        decrement(entry->awaitingFirstByte);
         entry->unreadTokens = std::max(0.0, entry->unreadTokens - call.unreadTokens);
     }
-    if (call.engine) {
-        removeOne(entry->runningOn, call.adapterName());
+    if (call.isEngine) {
+        removeOne(entry->runningByAdapter, call.adapterName());
     }
-    entry->countEnd(failed, now);
+    entry->recordEnd(failed, now);
 }
 
 void DirectCalls::answerBegan(CallHandle handle, std::uint32_t attempt, TimePoint now)
 {
     const auto found = impl_->calls.find(handle);
-    if (found == impl_->calls.end() || found->second.attempt != attempt || found->second.began) {
+    if (found == impl_->calls.end() || found->second.attempt != attempt || found->second.hasFirstByte) {
         return;
     }
     auto &call = found->second;
-    call.began = true;
-    call.firstByte = now - call.arrived;
-    if (auto *entry = impl_->endpointOf(call)) {
-        entry->countByte(now);
-        impl_->learnFirstByte(call, *entry, now);
-        entry->changed = true;
-        lower(entry->unanswered);
+    call.hasFirstByte = true;
+    call.firstByte = now - call.arrivedAt;
+    if (auto *entry = impl_->findEndpoint(call)) {
+        entry->recordByte(now);
+        impl_->recordFirstByte(call, *entry, now);
+        entry->hasDemandChanged = true;
+        decrement(entry->awaitingFirstByte);
         entry->unreadTokens = std::max(0.0, entry->unreadTokens - call.unreadTokens);
     }
 }
@@ -315,14 +316,14 @@
 
 std::vector<CallFingerprint> DirectCalls::takeQuarantined()
 {
-    auto held = impl_->quarantine.takeNewlyHeld();
-    impl_->stats.quarantined += held.size();
-    return held;
+    auto newlyQuarantined = impl_->quarantine.takeNewlyQuarantined();
+    impl_->stats.quarantined += newlyQuarantined.size();
+    return newlyQuarantined;
 }
 
 std::vector<EndedCall> DirectCalls::takeEnded()
 {
-    return std::exchange(impl_->ended, {});
+    return std::exchange(impl_->endedCalls, {});
 }
 
 std::vector<DirectAction> DirectCalls::takeActions()
@@ -339,19 +340,19 @@
 // ready once half of the engines have reported, or after a timeout: the rest may have no sidecar.
 bool DirectCalls::ready(TimePoint now) const
 {
-    if (!configured() || impl_->endpoints.all().empty()) {
+    if (!configured() || impl_->endpoints.entries().empty()) {
         return false;
     }
     std::size_t engines = 0;
-    std::size_t told = 0;
-    for (const auto &[id, entry] : impl_->endpoints.all()) {
+    std::size_t reported = 0;
+    for (const auto &[id, entry] : impl_->endpoints.entries()) {
         const auto *service = impl_->config->service(entry.record.service);
         if (service != nullptr && service->engine) {
             ++engines;
-            told += entry.state ? 1 : 0;
+            reported += entry.state ? 1 : 0;
         }
     }
-    return 2 * told >= engines || now - impl_->configuredAt > sidecarsTime;
+    return 2 * reported >= engines || now - impl_->configuredAt > sidecarReportTimeout;
 }
 
 const DirectConfig &DirectCalls::config() const
--- a/src/direct/direct_waits.cpp
+++ b/src/direct/direct_waits.cpp
@@ -9,18 +9,18 @@
 namespace {
 
 // Interval at which a waiting call is checked against its deadline.
-constexpr Duration hopeInterval = Milliseconds(250);
+constexpr Duration waitCheckInterval = Milliseconds(250);
 // Minimum interval between demands while calls are running, so that a sidecar evicts no adapter in use.
-constexpr Duration wishesInterval = Milliseconds(400);
+constexpr Duration minDemandInterval = Milliseconds(400);
 // Changes of unread prompt tokens are sent sooner, to keep independent entries from sending long prompts to the same
 // engine at the same time.
-constexpr double unreadStep = 3000;
-constexpr Duration unreadInterval = Milliseconds(15);
+constexpr double unreadTokenStep = 3000;
+constexpr Duration unreadTokenInterval = Milliseconds(15);
 // Maximum interval between demands, so that a sidecar knows that the entry is alive.
-constexpr Duration wishesKeepAlive = Milliseconds(2000);
+constexpr Duration maxDemandInterval = Milliseconds(2000);
 
 /// Returns the capacity of an engine of the service; nullptr for a plain or unknown service.
-const EngineLimits *engineOf(const std::optional<DirectConfig> &config, const std::string &name)
+const EngineLimits *findEngine(const std::optional<DirectConfig> &config, const std::string &name)
 {
     const auto *service = config ? config->service(name) : nullptr;
     return service != nullptr && service->engine ? &*service->engine : nullptr;
@@ -30,73 +30,74 @@
 
 void DirectCalls::tick(TimePoint now)
 {
-    impl_->shareRetries(now);
+    impl_->updateRetryShare(now);
     impl_->checkDeadlines(now);
-    impl_->checkWaiting(now);
-    impl_->tellSidecars(now);
+    impl_->checkWaitingCalls(now);
+    impl_->sendDemands(now);
 }
 
 void DirectCalls::Impl::checkDeadlines(TimePoint now)
 {
-    std::vector<CallHandle> due;
+    std::vector<CallHandle> isDue;
     for (const auto &[handle, call] : calls) {
-        if (now >= call.cutAt) {
-            due.push_back(handle);
+        if (now >= call.cutOffAt) {
+            isDue.push_back(handle);
         }
     }
-    for (const auto handle : due) {
+    for (const auto handle : isDue) {
         auto &call = calls.at(handle);
         const bool sent = call.step == CallStep::Sent;
-        const bool slow = sent && !call.began;
-        leaveEndpoint(handle, call, slow, now);
+        const bool slow = sent && !call.hasFirstByte;
+        detachFromEndpoint(handle, call, slow, now);
         if (sent) {
             abandon(handle, FailureReason::DeadlinePassed, now);
         } else {
-            giveUp(handle, call, RefusalReason::DeadlinePassed, Duration(0), now);
+            refuseOrAbandon(handle, call, RefusalReason::DeadlinePassed, Duration(0), now);
         }
     }
 }
 
 // True if the adapter cannot be loaded before the caller leaves. An early refusal leaves the caller time to return.
-bool DirectCalls::Impl::isHopeless(const DirectCall &call, TimePoint now)
+bool DirectCalls::Impl::missesDeadline(const DirectCall &call, TimePoint now)
 {
-    const auto *entry = endpointOf(call);
+    const auto *entry = findEndpoint(call);
     if (entry == nullptr || !init.policy.has(Mechanism::EarlyRefusal)) {
         return false;
     }
-    const auto query = queryFor(call, now);
+    const auto query = buildQuery(call, now);
     const WaitForecast forecast(*entry, query, now);
-    const auto presence = entry->presence(call.adapterName(), query.leastVersion, now);
-    return now + fromMilliseconds(forecast.certainRestMs(presence)) > call.firstByteBy;
+    const auto presence = entry->presence(call.adapterName(), query.minVersion, now);
+    return now + fromMilliseconds(forecast.confirmedRemainingMs(presence)) > call.firstByteBy;
 }
 
-void DirectCalls::Impl::checkWaiting(TimePoint now)
+void DirectCalls::Impl::checkWaitingCalls(TimePoint now)
 {
-    std::vector<CallHandle> due;
+    std::vector<CallHandle> isDue;
     for (auto &[handle, call] : calls) {
-        if (call.step != CallStep::Waiting || now < call.checkAt) {
+        if (call.step != CallStep::Waiting || now < call.nextCheckAt) {
             continue;
         }
-        call.checkAt = now + hopeInterval;
-        if (now > call.thinkAgainAt || quarantine.holds(call.facts.fingerprint, now) || isHopeless(call, now)) {
-            due.push_back(handle);
+        call.nextCheckAt = now + waitCheckInterval;
+        if (now > call.reevaluateAt || quarantine.isQuarantined(call.info.fingerprint, now)
+            || missesDeadline(call, now)) {
+            isDue.push_back(handle);
         }
     }
-    for (const auto handle : due) {
+    for (const auto handle : isDue) {
         auto &call = calls.at(handle);
-        leaveEndpoint(handle, call, false, now);
-        route(handle, call, now);
+        detachFromEndpoint(handle, call, false, now);
+        routeCall(handle, call, now);
     }
 }
 
-void DirectCalls::Impl::sendWaiting(const std::string &endpointId, TimePoint now)
+void DirectCalls::Impl::sendReadyCalls(const std::string &endpointId, TimePoint now)
 {
     auto *entry = endpoints.find(endpointId);
-    if (entry == nullptr || entry->waiting.empty()) {
+    if (entry == nullptr || entry->waitingCalls.empty()) {
         return;
     }
     std::vector<CallHandle> ready;
-    for (const auto handle : entry->waiting) {
+    for (const auto handle : entry->waitingCalls) {
         const auto name = calls.at(handle).adapterName();
         if (entry->presence(name, namedVersion(name), now) == Presence::Resident) {
             ready.push_back(handle);
@@ -105,23 +106,23 @@
     for (const auto handle : ready) {
         auto &call = calls.at(handle);
         stopWaiting(*entry, handle, call, now);
-        if (!stopQuarantined(handle, call, now)) {
-            send(handle, call, now);
+        if (!stopIfQuarantined(handle, call, now)) {
+            sendCall(handle, call, now);
         }
     }
 }
 
-std::string DirectCalls::Impl::favouriteModel(const std::string &service) const
+std::string DirectCalls::Impl::mostUsedModel(const std::string &service) const
 {
-    const auto *engine = engineOf(config, service);
+    const auto *engine = findEngine(config, service);
     if (engine == nullptr) {
         return {};
     }
     std::string best;
     std::uint64_t most = 0;
     for (const auto &model : engine->models) {
-        const auto used = modelUse.find(model.name);
-        const auto count = used == modelUse.end() ? 0 : used->second;
+        const auto used = callsByModel.find(model.name);
+        const auto count = used == callsByModel.end() ? 0 : used->second;
         if (best.empty() || count > most) {
             best = model.name;
             most = count;
@@ -130,10 +131,10 @@
     return best;
 }
 
-wire::EnginePlan DirectCalls::Impl::planFor(const std::string &service) const
+wire::EnginePlan DirectCalls::Impl::buildPlan(const std::string &service) const
 {
     wire::EnginePlan plan;
-    const auto *engine = engineOf(config, service);
+    const auto *engine = findEngine(config, service);
     if (engine == nullptr) {
         return plan;
     }
@@ -149,95 +150,97 @@
     return plan;
 }
 
-wire::DirectDemand DirectCalls::Impl::demandFor(const EndpointEntry &entry, TimePoint now) const
+wire::DirectDemand DirectCalls::Impl::buildDemand(const EndpointEntry &entry, TimePoint now) const
 {
     std::map<AdapterName, wire::AdapterWish> items;
-    const auto wishFor = [&](const AdapterName &name) -> wire::AdapterWish & {
-        auto &wish = items[name];
-        wish.set_model(name.first);
-        wish.set_adapter(name.second);
-        wish.set_least_version(namedVersion(name));
-        return wish;
+    const auto demandOf = [&](const AdapterName &name) -> wire::AdapterWish & {
+        auto &adapterDemand = items[name];
+        adapterDemand.set_model(name.first);
+        adapterDemand.set_adapter(name.second);
+        adapterDemand.set_least_version(namedVersion(name));
+        return adapterDemand;
     };
-    for (const auto handle : entry.waiting) {
+    for (const auto handle : entry.waitingCalls) {
         const auto &call = calls.at(handle);
-        auto &wish = wishFor(call.adapterName());
-        wish.set_waiting(wish.waiting() + 1);
-        wish.set_in_time(wish.in_time() + (call.canBeInTime(now) ? 1 : 0));
+        auto &adapterDemand = demandOf(call.adapterName());
+        adapterDemand.set_waiting(adapterDemand.waiting() + 1);
+        adapterDemand.set_in_time(adapterDemand.in_time() + (call.canMeetObjective(now) ? 1 : 0));
     }
-    for (const auto &[name, count] : entry.runningOn) {
-        wishFor(name).set_running(count);
+    for (const auto &[name, count] : entry.runningByAdapter) {
+        demandOf(name).set_running(count);
     }
-    for (const auto &[name, count] : entry.startedOn) {
-        wishFor(name).set_started(count);
+    for (const auto &[name, count] : entry.startedByAdapter) {
+        demandOf(name).set_started(count);
     }
-    if (entry.stateFresh(now)) {
+    if (entry.hasFreshState(now)) {
         for (const auto &held : entry.state->adapters()) {
             const AdapterName name{held.model(), held.adapter()};
             if (held.version() < namedVersion(name)) {
-                wishFor(name); // a newer version is published: the held one has to be replaced
+                demandOf(name); // a newer version is published: the held one has to be replaced
             }
         }
         if (entry.state->models().empty()) {
             // A restarted engine is empty: loads its model before calls need it.
-            wishFor({favouriteModel(entry.record.service), ""}).set_waiting(1);
+            demandOf({mostUsedModel(entry.record.service), ""}).set_waiting(1);
         }
     }
     wire::DirectDemand demand;
     demand.set_endpoint_id(entry.record.id);
     demand.set_unread_tokens(static_cast<std::uint64_t>(entry.unreadTokens));
     demand.set_waiting_tokens(static_cast<std::uint64_t>(entry.waitingTokens));
-    for (auto &[name, wish] : items) {
+    for (auto &[name, adapterDemand] : items) {
         if (!name.first.empty()) {
-            *demand.add_wishes() = std::move(wish);
+            *demand.add_wishes() = std::move(adapterDemand);
         }
     }
     return demand;
 }
 
-void DirectCalls::Impl::tellSidecar(EndpointEntry &entry, TimePoint now)
+void DirectCalls::Impl::sendDemand(EndpointEntry &entry, TimePoint now)
 {
-    auto &sent = wishes[entry.record.address];
-    const bool planNew = config && sent.planVersion < config->version;
-    const bool quiet = now - sent.at >= wishesKeepAlive;
-    if (!entry.changed && !planNew && !quiet) {
+    auto &sent = sentDemands[entry.record.address];
+    const bool hasNewPlan = config && sent.planVersion < config->version;
+    const bool keepAliveDue = now - sent.sentAt >= maxDemandInterval;
+    if (!entry.hasDemandChanged && !hasNewPlan && !keepAliveDue) {
         return;
     }
-    auto demand = demandFor(entry, now);
-    auto text = demand.SerializeAsString();
-    entry.changed = text != sent.text;
+    auto demand = buildDemand(entry, now);
+    auto serialized = demand.SerializeAsString();
+    entry.hasDemandChanged = serialized != sent.serialized;
     // A sidecar must not evict an adapter with a new call: the first call on an adapter is sent at once.
-    const bool urgent = (!entry.waiting.empty() || entry.newlyRunning) && text != sent.text;
-    const bool due = text != sent.text && now - sent.at >= wishesInterval;
-    const bool moved = std::abs(entry.unreadTokens - entry.toldUnread) >= unreadStep && now - sent.at >= unreadInterval;
-    if (!planNew && !urgent && !due && !moved && !quiet) {
+    const bool isUrgent = (!entry.waitingCalls.empty() || entry.hasUnsentRun) && serialized != sent.serialized;
+    const bool isDue = serialized != sent.serialized && now - sent.sentAt >= minDemandInterval;
+    const bool tokensChanged = std::abs(entry.unreadTokens - entry.lastSentUnreadTokens) >= unreadTokenStep
+                               && now - sent.sentAt >= unreadTokenInterval;
+    if (!hasNewPlan && !isUrgent && !isDue && !tokensChanged && !keepAliveDue) {
         return;
     }
-    if (planNew) {
-        *demand.mutable_plan() = planFor(entry.record.service);
+    if (hasNewPlan) {
+        *demand.mutable_plan() = buildPlan(entry.record.service);
         sent.planVersion = config->version;
     }
     demand.set_state_sequence(entry.state ? entry.state->sequence() : 0);
-    entry.toldUnread = entry.unreadTokens;
-    entry.toldWaiting = entry.waitingTokens;
-    entry.newlyRunning = false;
-    entry.changed = !entry.startedOn.empty(); // the started calls were sent and must not be sent again
-    sent.at = now;
-    sent.text = std::move(text);
-    entry.startedOn.clear();
+    entry.lastSentUnreadTokens = entry.unreadTokens;
+    entry.lastSentWaitingTokens = entry.waitingTokens;
+    entry.hasUnsentRun = false;
+    entry.hasDemandChanged = !entry.startedByAdapter.empty(); // the started calls were sent and must not be sent again
+    sent.sentAt = now;
+    sent.serialized = std::move(serialized);
+    entry.startedByAdapter.clear();
     actions.emplace_back(SendWishes{entry.record.address, std::move(demand)});
 }
 
-void DirectCalls::Impl::tellSidecars(TimePoint now)
+void DirectCalls::Impl::sendDemands(TimePoint now)
 {
     if (!config) {
         return;
     }
-    for (auto &[id, entry] : endpoints.all()) {
-        const bool takesCalls = !entry.leaves(now) && !entry.superseded;
-        if (takesCalls && engineOf(config, entry.record.service) != nullptr) {
-            entry.changed = entry.changed || !entry.waiting.empty(); // a waiting call becomes late with time alone
-            tellSidecar(entry, now);
+    for (auto &[id, entry] : endpoints.entries()) {
+        const bool takesCalls = !entry.isLeaving(now) && !entry.isSuperseded;
+        if (takesCalls && findEngine(config, entry.record.service) != nullptr) {
+            entry.hasDemandChanged =
+                entry.hasDemandChanged || !entry.waitingCalls.empty(); // a waiting call becomes late with time alone
+            sendDemand(entry, now);
         }
     }
 }
@@ -245,8 +248,8 @@
 std::vector<std::string> DirectCalls::engineAddresses() const
 {
     std::set<std::string> addresses;
-    for (const auto &[id, entry] : impl_->endpoints.all()) {
-        if (engineOf(impl_->config, entry.record.service) != nullptr) {
+    for (const auto &[id, entry] : impl_->endpoints.entries()) {
+        if (findEngine(impl_->config, entry.record.service) != nullptr) {
             addresses.insert(entry.record.address);
         }
     }
@@ -256,7 +259,7 @@
 std::vector<std::string> DirectCalls::endpointIds() const
 {
     std::vector<std::string> ids;
-    for (const auto &[id, entry] : impl_->endpoints.all()) {
+    for (const auto &[id, entry] : impl_->endpoints.entries()) {
         ids.push_back(id);
     }
     return ids;
--- a/src/direct/endpoint_choice.cpp
+++ b/src/direct/endpoint_choice.cpp
@@ -10,68 +10,71 @@
 namespace {
 
 // Work of a plain call before any measurement, as a share of its objective.
-constexpr double plainShare = 0.2;
+constexpr double plainWorkShare = 0.2;
 
 // Sampled engines for a call with an absent adapter, besides its home engine.
-constexpr std::ptrdiff_t drawnEngines = 8;
+constexpr std::ptrdiff_t sampledEngines = 8;
 
-struct Scored
+struct Candidate
 {
     const EndpointEntry *entry = nullptr;
     Presence presence = Presence::Resident;
-    double fresh = 0; // prompt tokens not cached there
-    double work = 0; // work of reading them, in tokens of a short prompt
-    double ms = 0; // estimated time to the first byte
+    double uncachedTokens = 0; // prompt tokens not cached there
+    double readingWork = 0; // work of reading them, in tokens of a short prompt
+    double firstByteMs = 0; // estimated time to the first byte
     double readingMs = 0; // part of it for reading prompts, without the endpoint's slowness
-    std::pair<bool, std::uint64_t> draw{}; // sampling order, lowest first: endpoints that are not avoided, then random
-    double dislike = 0; // penalty that does not make the call late
-    double sum() const
+    std::pair<bool, std::uint64_t>
+        samplingKey{}; // sampling order, lowest first: endpoints that are not avoided, then random
+    double penaltyMs = 0; // penalty that does not make the call late
+    double totalMs() const
     {
-        return ms + dislike;
+        return firstByteMs + penaltyMs;
     }
 };
 
-std::uint64_t rank(std::uint64_t key, const EndpointEntry &entry)
+std::uint64_t rendezvousHash(std::uint64_t key, const EndpointEntry &entry)
 {
     return hash64(entry.record.address, key);
 }
 
-double sharedTokens(const CallFacts &facts)
+double sharedTokens(const CallFacts &info)
 {
     double sum = 0;
-    for (std::size_t i = 0; i + 1 < facts.parts.size(); ++i) {
-        sum += facts.parts[i].tokens;
+    for (std::size_t i = 0; i + 1 < info.parts.size(); ++i) {
+        sum += info.parts[i].tokens;
     }
     return sum;
 }
 
-double ownTokens(const CallFacts &facts)
+double ownTokens(const CallFacts &info)
 {
-    return facts.parts.empty() ? facts.promptTokens : facts.parts.back().tokens;
+    return info.parts.empty() ? info.promptTokens : info.parts.back().tokens;
 }
 
-std::uint64_t prefixKey(const CallFacts &facts)
+std::uint64_t prefixKey(const CallFacts &info)
 {
-    std::uint64_t key = hash64(facts.adapter, hash64(facts.model));
-    for (std::size_t i = 0; i + 1 < facts.parts.size(); ++i) {
-        key = hash64(facts.parts[i].id, key);
+    std::uint64_t key = hash64(info.adapter, hash64(info.model));
+    for (std::size_t i = 0; i + 1 < info.parts.size(); ++i) {
+        key = hash64(info.parts[i].id, key);
     }
     return key;
 }
 
-double trouble(const EndpointEntry &entry, const ChoiceQuery &query, TimePoint now)
+double healthPenaltyMs(const EndpointEntry &entry, const ChoiceQuery &query, TimePoint now)
 {
     const auto &policy = *query.policy;
     double ms = 0;
     if (policy.has(Mechanism::Avoidance)) {
-        ms += policy.failingMs * entry.failureShare;
-        ms += now < entry.avoidUntil ? policy.avoidedMs : 0;
-        ms += entry.silentFor(query.learned->silence(), now) ? policy.avoidedMs : 0;
+        ms += policy.failurePenaltyMs * entry.failureShare;
+        ms += now < entry.avoidedUntil ? policy.avoidancePenaltyMs : 0;
+        ms += entry.isSilentFor(query.estimates->silenceTimeout(), now) ? policy.avoidancePenaltyMs : 0;
     }
     if (policy.has(Mechanism::Unreachable)) {
         // Avoids engines on stopped VMs at once: they would read the calls after resuming, when the callers have
         // left.
-        ms += entry.toldUnreachable(now) || entry.sidecarSilent(query.heard) ? policy.avoidedMs : 0;
+        ms += entry.isReportedUnreachable(now) || entry.isSidecarSilent(query.lastReceivedAt)
+                  ? policy.avoidancePenaltyMs
+                  : 0;
     }
     return ms;
 }
@@ -86,57 +89,60 @@
 /// Engines with a special role for the call's adapter.
 struct Placement
 {
-    const EndpointEntry *keeper = nullptr; // most likely caches the shared parts of the prompt
-    const EndpointEntry *home = nullptr; // where all entries load the adapter next
+    const EndpointEntry *prefixHolder = nullptr; // most likely caches the shared parts of the prompt
+    const EndpointEntry *homeEngine = nullptr; // where all entries load the adapter next
     Holders holders;
 };
 
 // A load is paid once and serves all calls of the copy. Prevents calls of a popular adapter from queueing at its few
 // holders while other engines are idle.
-double priceShare(const Holders &holders, const DirectPolicy &policy)
+double loadPenaltyShare(const Holders &holders, const DirectPolicy &policy)
 {
     return policy.has(Mechanism::Popularity) ? 1 / (1 + holders.recentCalls / (holders.count + 1)) : 1;
 }
 
 // Cost of a load to other calls; none if the adapter is awaited there already. Prevents calls that arrive together
 // from loading one absent adapter into several engines.
-double loadPrice(const Scored &scored, const Placement &placement, const ChoiceQuery &query, const WaitForecast &wait,
-                 TimePoint now)
+double loadPenalty(const Candidate &candidate, const Placement &placement, const ChoiceQuery &query,
+                   const WaitForecast &forecast, TimePoint now)
 {
     const auto &policy = *query.policy;
-    const AdapterName name{query.facts->model, query.facts->adapter};
-    const bool awaited = policy.has(Mechanism::Awaited) && scored.entry->awaits(name, now);
-    if (scored.presence != Presence::Absent || name.second.empty() || wait.hasCopy() || awaited) {
+    const AdapterName name{query.info->model, query.info->adapter};
+    const bool awaited = policy.has(Mechanism::Awaited) && candidate.entry->isAwaiting(name, now);
+    if (candidate.presence != Presence::Absent || name.second.empty() || forecast.hasLocalCopy() || awaited) {
         return 0;
     }
-    const double price =
-        policy.has(Mechanism::LoadPrice) ? policy.loadPriceMs * priceShare(placement.holders, policy) : 0;
-    return price + (scored.entry != placement.home && policy.has(Mechanism::Home) ? policy.homeMs : 0);
+    const double penalty =
+        policy.has(Mechanism::LoadPrice) ? policy.loadPenaltyMs * loadPenaltyShare(placement.holders, policy) : 0;
+    return penalty
+           + (candidate.entry != placement.homeEngine && policy.has(Mechanism::Home) ? policy.homePenaltyMs : 0);
 }
 
-bool mayTake(const EndpointEntry &entry, const ChoiceQuery &query, TimePoint now)
+bool isEligible(const EndpointEntry &entry, const ChoiceQuery &query, TimePoint now)
 {
-    return entry.record.service == *query.service && !entry.leaves(now) && !entry.pauses(now) && !entry.superseded
-           && query.exclude->count(entry.record.id) == 0;
+    return entry.record.service == *query.service && !entry.isLeaving(now) && !entry.isPaused(now)
+           && !entry.isSuperseded && query.excludedIds->count(entry.record.id) == 0;
 }
 
-Placement findPlacement(std::vector<Scored> &list, const ChoiceQuery &query, TimePoint now)
+Placement findPlacement(std::vector<Candidate> &candidates, const ChoiceQuery &query, TimePoint now)
 {
-    const AdapterName name{query.facts->model, query.facts->adapter};
-    const auto key = prefixKey(*query.facts);
-    const auto homeKey = hash64(query.facts->adapter, hash64(query.facts->model));
+    const AdapterName name{query.info->model, query.info->adapter};
+    const auto key = prefixKey(*query.info);
+    const auto homeKey = hash64(query.info->adapter, hash64(query.info->model));
     Placement placement;
-    for (auto &scored : list) {
-        const auto &entry = *scored.entry;
-        scored.presence = entry.presence(name, query.leastVersion, now);
-        if (scored.presence == Presence::Resident) {
+    for (auto &candidate : candidates) {
+        const auto &entry = *candidate.entry;
+        candidate.presence = entry.presence(name, query.minVersion, now);
+        if (candidate.presence == Presence::Resident) {
             ++placement.holders.count;
             placement.holders.recentCalls += entry.recentCalls(name, now);
-            if (placement.keeper == nullptr || rank(key, entry) > rank(key, *placement.keeper)) {
-                placement.keeper = &entry;
+            if (placement.prefixHolder == nullptr
+                || rendezvousHash(key, entry) > rendezvousHash(key, *placement.prefixHolder)) {
+                placement.prefixHolder = &entry;
             }
-        } else if (placement.home == nullptr || rank(homeKey, entry) > rank(homeKey, *placement.home)) {
-            placement.home = &entry;
+        } else if (placement.homeEngine == nullptr
+                   || rendezvousHash(homeKey, entry) > rendezvousHash(homeKey, *placement.homeEngine)) {
+            placement.homeEngine = &entry;
         }
     }
     return placement;
@@ -144,122 +150,128 @@
 
 /// Keeps the engines that are related to the adapter, and a random sample of the others. Prevents entries with the
 /// same outdated state from sending all calls to the same engine, and bounds the work of a choice in a large fleet.
-void drawCandidates(std::vector<Scored> &list, const Placement &placement, const ChoiceQuery &query, TimePoint now)
+void sampleCandidates(std::vector<Candidate> &candidates, const Placement &placement, const ChoiceQuery &query,
+                      TimePoint now)
 {
     if (!query.policy->has(Mechanism::Sampling)) {
         return;
     }
-    const AdapterName name{query.facts->model, query.facts->adapter};
-    const auto others = std::partition(list.begin(), list.end(), [&](const Scored &scored) {
-        const auto &entry = *scored.entry;
-        return scored.presence != Presence::Absent || &entry == placement.home || entry.loadsFast(name)
-               || entry.awaits(name, now);
+    const AdapterName name{query.info->model, query.info->adapter};
+    const auto unrelated = std::partition(candidates.begin(), candidates.end(), [&](const Candidate &candidate) {
+        const auto &entry = *candidate.entry;
+        return candidate.presence != Presence::Absent || &entry == placement.homeEngine || entry.hasLocalCopy(name)
+               || entry.isAwaiting(name, now);
     });
-    if (list.end() - others <= drawnEngines) {
+    if (candidates.end() - unrelated <= sampledEngines) {
         return;
     }
-    const auto tie = hash64(query.facts->requestId);
-    for (auto it = others; it != list.end(); ++it) {
-        const bool avoided = trouble(*it->entry, query, now) >= query.policy->avoidedMs;
-        it->draw = {avoided, rank(tie, *it->entry)};
+    const auto tieKey = hash64(query.info->requestId);
+    for (auto it = unrelated; it != candidates.end(); ++it) {
+        const bool isAvoided = healthPenaltyMs(*it->entry, query, now) >= query.policy->avoidancePenaltyMs;
+        it->samplingKey = {isAvoided, rendezvousHash(tieKey, *it->entry)};
     }
-    std::nth_element(others, others + drawnEngines, list.end(),
-                     [](const Scored &a, const Scored &b) { return a.draw < b.draw; });
-    list.erase(others + drawnEngines, list.end());
+    std::nth_element(unrelated, unrelated + sampledEngines, candidates.end(),
+                     [](const Candidate &a, const Candidate &b) { return a.samplingKey < b.samplingKey; });
+    candidates.erase(unrelated + sampledEngines, candidates.end());
 }
 
-void scoreEngines(std::vector<Scored> &list, const ChoiceQuery &query, TimePoint now)
+void scoreEngines(std::vector<Candidate> &candidates, const ChoiceQuery &query, TimePoint now)
 {
-    const auto shared = sharedTokens(*query.facts);
-    const auto placement = findPlacement(list, query, now);
-    drawCandidates(list, placement, query, now);
-    const auto *keeper = query.policy->has(Mechanism::KeptParts) ? placement.keeper : nullptr;
-    for (auto &scored : list) {
-        const auto &entry = *scored.entry;
-        const WaitForecast wait(entry, query, now);
-        const double kept = &entry == keeper ? shared : 0;
-        scored.fresh = shared + ownTokens(*query.facts) - kept;
-        scored.work = query.learned->reading.work(scored.fresh, kept);
-        const double backlog = wait.backlogMs();
-        const double own = query.learned->reading.aloneMs(scored.work);
-        scored.readingMs = backlog + own;
+    const auto shared = sharedTokens(*query.info);
+    const auto placement = findPlacement(candidates, query, now);
+    sampleCandidates(candidates, placement, query, now);
+    const auto *prefixHolder = query.policy->has(Mechanism::KeptParts) ? placement.prefixHolder : nullptr;
+    for (auto &candidate : candidates) {
+        const auto &entry = *candidate.entry;
+        const WaitForecast forecast(entry, query, now);
+        const double cached = &entry == prefixHolder ? shared : 0;
+        candidate.uncachedTokens = shared + ownTokens(*query.info) - cached;
+        candidate.readingWork = query.estimates->reading.work(candidate.uncachedTokens, cached);
+        const double backlog = forecast.backlogMs();
+        const double own = query.estimates->reading.idleEngineMs(candidate.readingWork);
+        candidate.readingMs = backlog + own;
         // Own calls show the effect of evicted prefix caches and of long answers.
-        const double slowness = query.policy->has(Mechanism::Slowness) ? entry.slownessNow(now) : 1;
-        scored.ms = slowness * scored.readingMs;
-        if (scored.presence != Presence::Resident) {
+        const double slowness = query.policy->has(Mechanism::Slowness) ? entry.currentSlowness(now) : 1;
+        candidate.firstByteMs = slowness * candidate.readingMs;
+        if (candidate.presence != Presence::Resident) {
             // The engine continues reading while the adapter is loaded.
-            const double loading = wait.presenceMs(scored.presence);
-            scored.ms = std::max(loading, slowness * backlog) + slowness * (wait.plannedMs() + own);
+            const double loading = forecast.untilResidentMs(candidate.presence);
+            candidate.firstByteMs =
+                std::max(loading, slowness * backlog) + slowness * (forecast.plannedReadingMs() + own);
         }
-        scored.dislike = trouble(entry, query, now) + loadPrice(scored, placement, query, wait, now);
+        candidate.penaltyMs =
+            healthPenaltyMs(entry, query, now) + loadPenalty(candidate, placement, query, forecast, now);
     }
 }
 
 double plainWorkMs(const ChoiceQuery &query)
 {
-    const bool measured = query.learned->plainMs.count() != 0;
-    return measured ? query.learned->plainMs.quantile(0.5) : plainShare * milliseconds(query.objective);
+    const bool measured = query.estimates->plainRunMs.count() != 0;
+    return measured ? query.estimates->plainRunMs.quantile(0.5) : plainWorkShare * milliseconds(query.objective);
 }
 
-void scorePlain(std::vector<Scored> &list, const ChoiceQuery &query, TimePoint now)
+void scorePlain(std::vector<Candidate> &candidates, const ChoiceQuery &query, TimePoint now)
 {
-    for (auto &scored : list) {
-        scored.ms = plainWorkMs(query) * scored.entry->inFlight;
-        scored.dislike = trouble(*scored.entry, query, now);
+    for (auto &candidate : candidates) {
+        candidate.firstByteMs = plainWorkMs(query) * candidate.entry->inFlight;
+        candidate.penaltyMs = healthPenaltyMs(*candidate.entry, query, now);
     }
 }
 
-Duration certainFirstByte(const Scored &best, const ChoiceQuery &query, const WaitForecast &wait, Duration whole)
+Duration confirmedTime(const Candidate &best, const ChoiceQuery &query, const WaitForecast &forecast, Duration whole)
 {
-    if (!query.engine) {
-        return query.learned->plainMs.count() != 0 ? whole : Duration(0);
+    if (!query.isEngine) {
+        return query.estimates->plainRunMs.count() != 0 ? whole : Duration(0);
     }
-    const double presence = wait.certainPresenceMs(best.presence);
-    if (!query.learned->reading.measured()) {
+    const double presence = forecast.confirmedUntilResidentMs(best.presence);
+    if (!query.estimates->reading.isMeasured()) {
         return fromMilliseconds(presence);
     }
     // Without a measured load time the whole estimate rests on a default.
-    const bool guessed = best.presence != Presence::Resident && query.learned->loadMs == 0;
-    return guessed ? fromMilliseconds(std::max(presence, best.readingMs)) : whole;
+    const bool usesDefault = best.presence != Presence::Resident && query.estimates->loadMs == 0;
+    return usesDefault ? fromMilliseconds(std::max(presence, best.readingMs)) : whole;
 }
 
 } // namespace
 
 std::optional<Choice> chooseEndpoint(const EndpointTable &table, const ChoiceQuery &query, TimePoint now)
 {
-    std::vector<Scored> list;
-    for (const auto &[id, entry] : table.all()) {
-        if (mayTake(entry, query, now)) {
-            list.push_back({&entry});
+    std::vector<Candidate> candidates;
+    for (const auto &[id, entry] : table.entries()) {
+        if (isEligible(entry, query, now)) {
+            candidates.push_back({&entry});
         }
     }
-    if (list.empty()) {
+    if (candidates.empty()) {
         return std::nullopt;
     }
-    if (query.engine) {
-        scoreEngines(list, query, now);
+    if (query.isEngine) {
+        scoreEngines(candidates, query, now);
     } else {
-        scorePlain(list, query, now);
+        scorePlain(candidates, query, now);
     }
-    const auto tie = hash64(query.facts->requestId);
-    for (auto &scored : list) {
-        scored.dislike += scored.entry->record.dataCentre == query.dataCentre ? 0 : query.policy->otherCentreMs;
+    const auto tieKey = hash64(query.info->requestId);
+    for (auto &candidate : candidates) {
+        candidate.penaltyMs +=
+            candidate.entry->record.dataCentre == query.dataCentre ? 0 : query.policy->remoteCentrePenaltyMs;
     }
-    const auto best = std::min_element(list.begin(), list.end(), [&](const Scored &a, const Scored &b) {
-        return a.sum() != b.sum() ? a.sum() < b.sum() : rank(tie, *a.entry) < rank(tie, *b.entry);
-    });
+    const auto best =
+        std::min_element(candidates.begin(), candidates.end(), [&](const Candidate &a, const Candidate &b) {
+            return a.totalMs() != b.totalMs() ? a.totalMs() < b.totalMs()
+                                              : rendezvousHash(tieKey, *a.entry) < rendezvousHash(tieKey, *b.entry);
+        });
     Choice choice;
     choice.endpointId = best->entry->record.id;
     choice.presence = best->presence;
-    choice.freshTokens = best->fresh;
-    choice.unreadTokens = best->work;
-    choice.reading = fromMilliseconds(best->readingMs);
-    const WaitForecast wait(*best->entry, query, now);
-    const double extra = query.engine ? wait.storeDelayMs(best->presence) : plainWorkMs(query);
-    const double whole = best->ms + extra;
+    choice.uncachedTokens = best->uncachedTokens;
+    choice.unreadTokens = best->readingWork;
+    choice.readingTime = fromMilliseconds(best->readingMs);
+    const WaitForecast forecast(*best->entry, query, now);
+    const double extra = query.isEngine ? forecast.storeDelayMs(best->presence) : plainWorkMs(query);
+    const double whole = best->firstByteMs + extra;
     choice.firstByte = fromMilliseconds(whole);
-    choice.certain = certainFirstByte(*best, query, wait, choice.firstByte);
-    choice.load = fromMilliseconds(wait.loadMs());
+    choice.confirmedFirstByte = confirmedTime(*best, query, forecast, choice.firstByte);
+    choice.loadTime = fromMilliseconds(forecast.loadMs());
     return choice;
 }
 
--- a/src/direct/endpoint_choice.h
+++ b/src/direct/endpoint_choice.h
@@ -9,29 +9,29 @@
 /// Input of the choice for one call.
 struct ChoiceQuery
 {
-    const CallFacts *facts = nullptr;
+    const CallFacts *info = nullptr;
     const std::string *service = nullptr;
-    bool engine = false;
-    std::uint32_t leastVersion = 0;
-    bool inTime = true; // the objective can still be met
+    bool isEngine = false;
+    std::uint32_t minVersion = 0;
+    bool canMeetObjective = true; // the objective can still be met
     Duration modelReload{}; // into a restarted engine; 0 if unknown
-    const std::set<std::string> *exclude = nullptr; // ids that the call must not go to again
+    const std::set<std::string> *excludedIds = nullptr; // ids that the call must not go to again
     std::string_view dataCentre; // of this entry
     Duration objective{}; // of the call's route
-    const ServiceEstimates *learned = nullptr; // of the service
+    const ServiceEstimates *estimates = nullptr; // of the service
     const DirectPolicy *policy = nullptr;
-    TimePoint heard{}; // time of the last message from any sidecar
+    TimePoint lastReceivedAt{}; // time of the last message from any sidecar
 };
 
 struct Choice
 {
     std::string endpointId;
     Duration firstByte{}; // estimated time to the first byte
-    Duration load{}; // duration of one adapter load from the weight store
-    Duration certain{}; // part of the estimate that rests on measured or declared times
-    Duration reading{}; // time for reading prompts, without the slowness of this endpoint
+    Duration loadTime{}; // duration of one adapter load from the weight store
+    Duration confirmedFirstByte{}; // part of the estimate that rests on measured or declared times
+    Duration readingTime{}; // time for reading prompts, without the slowness of this endpoint
     Presence presence = Presence::Resident;
-    double freshTokens = 0; // prompt tokens not cached there
+    double uncachedTokens = 0; // prompt tokens not cached there
     double unreadTokens = 0; // tokens to read for this call; long prompts count for more
 };
 
--- a/src/direct/endpoint_news.cpp
+++ b/src/direct/endpoint_news.cpp
@@ -8,11 +8,11 @@
 bool DirectCalls::applyEndpoint(const EndpointRecord &record, TimePoint now)
 {
     auto *known = impl_->endpoints.find(record.id);
-    const bool restarted = known != nullptr && known->endedBefore(record.born);
+    const bool restarted = known != nullptr && known->isOlderThan(record.born);
     if (restarted) {
         impl_->onRestarted(*known, record.born, now);
     }
-    const auto effect = impl_->endpoints.put(record, now);
+    const auto effect = impl_->endpoints.applyRecord(record, now);
     if (record.leaving && effect != RecordEffect::Stale) {
         impl_->rerouteWaiting(*impl_->endpoints.find(record.id), now);
     }
@@ -21,23 +21,23 @@
 
 // A new process runs under the endpoint's id. Counters of calls sent to the old one are reset with it, and calls
 // waiting for an adapter there are placed again, since the new process holds none.
-void DirectCalls::Impl::onRestarted(EndpointEntry &entry, std::uint64_t born, TimePoint now)
+void DirectCalls::Impl::onRestarted(EndpointEntry &entry, std::uint64_t startTimeMs, TimePoint now)
 {
-    const auto waiting = std::exchange(entry.waiting, {});
-    endpoints.startAnew(entry, born, now);
+    const auto waiting = std::exchange(entry.waitingCalls, {});
+    endpoints.resetProcess(entry, startTimeMs, now);
     actions.emplace_back(DropConnections{entry.record.address});
-    routeAgain(waiting, now);
+    rerouteCalls(waiting, now);
 }
 
 void DirectCalls::removeEndpoint(const std::string &id, TimePoint now)
 {
     if (auto *entry = impl_->endpoints.find(id)) {
-        impl_->forgetEndpoint(*entry, now);
+        impl_->dropEndpoint(*entry, now);
     }
 }
 
 // Places waiting calls again at once, and not only at their next check.
-void DirectCalls::Impl::forgetEndpoint(EndpointEntry &entry, TimePoint now)
+void DirectCalls::Impl::dropEndpoint(EndpointEntry &entry, TimePoint now)
 {
     entry.record.leaving = true;
     rerouteWaiting(entry, now);
@@ -48,25 +48,25 @@
 void DirectCalls::Impl::rerouteWaiting(EndpointEntry &entry, TimePoint now)
 {
     entry.waitingTokens = 0;
-    entry.waitingOn.clear();
-    routeAgain(std::exchange(entry.waiting, {}), now);
+    entry.waitingByAdapter.clear();
+    rerouteCalls(std::exchange(entry.waitingCalls, {}), now);
 }
 
-void DirectCalls::Impl::routeAgain(const std::set<CallHandle> &waiting, TimePoint now)
+void DirectCalls::Impl::rerouteCalls(const std::set<CallHandle> &waiting, TimePoint now)
 {
     for (const auto handle : waiting) {
         auto &call = calls.at(handle);
-        call.adapterWait += now - call.stepSince;
-        route(handle, call, now);
+        call.adapterWait += now - call.stepStartedAt;
+        routeCall(handle, call, now);
     }
 }
 
 void DirectCalls::applyVersion(const NamedVersion &version, TimePoint /*now*/)
 {
-    auto &known = impl_->versions[{version.model, version.adapter}];
+    auto &known = impl_->namedVersions[{version.model, version.adapter}];
     known = std::max(known, version.version);
-    for (auto &[id, entry] : impl_->endpoints.all()) {
-        entry.changed = true;
+    for (auto &[id, entry] : impl_->endpoints.entries()) {
+        entry.hasDemandChanged = true;
     }
 }
 
@@ -76,49 +76,49 @@
     if (entry == nullptr) {
         return false;
     }
-    const bool leaves = notice.leaving && !entry->record.leaving;
-    const bool pauses = notice.pause != Duration(0) && !entry->pauses(now);
-    entry->saidLeaving = entry->saidLeaving || notice.leaving;
+    const bool isLeaving = notice.leaving && !entry->record.leaving;
+    const bool isPaused = notice.pause != Duration(0) && !entry->isPaused(now);
+    entry->hasAnnouncedLeaving = entry->hasAnnouncedLeaving || notice.leaving;
     entry->pausedUntil = std::max(entry->pausedUntil, now + notice.pause);
     entry->record.leaving = entry->record.leaving || notice.leaving;
-    if (leaves || pauses) {
+    if (isLeaving || isPaused) {
         impl_->rerouteWaiting(*entry, now);
     }
-    return leaves || pauses;
+    return isLeaving || isPaused;
 }
 
 void DirectCalls::applyCrashReport(const CrashReport &report, TimePoint now)
 {
-    impl_->quarantine.apply(report, now);
+    impl_->quarantine.applyReport(report, now);
 }
 
 void DirectCalls::applyState(const std::string &address, const wire::DirectState &state, TimePoint now)
 {
     auto *entry = impl_->endpoints.findByAddress(address);
-    impl_->endpoints.noteHeard(now);
+    impl_->endpoints.recordMessage(now);
     if (entry == nullptr || entry->isOutdated(state)) {
         return;
     }
     // A sidecar may see a restart before the store does.
     const bool sameId = state.endpoint_id() == entry->record.id;
-    if (sameId && entry->endedBefore(state.born())) {
+    if (sameId && entry->isOlderThan(state.born())) {
         impl_->onRestarted(*entry, state.born(), now);
     }
     entry->applyState(state, now);
-    entry->changed = true;
+    entry->hasDemandChanged = true;
     if (state.load_ms() != 0) {
-        impl_->learned[entry->record.service].loadMs = state.load_ms();
+        impl_->estimates[entry->record.service].loadMs = state.load_ms();
     }
-    if (!state.reachable() || entry->leaves(now)) {
+    if (!state.reachable() || entry->isLeaving(now)) {
         impl_->rerouteWaiting(*entry, now);
         return;
     }
-    impl_->sendWaiting(entry->record.id, now);
+    impl_->sendReadyCalls(entry->record.id, now);
 }
 
 void DirectCalls::applyHeartbeat(const std::string &address, const wire::DirectHeartbeat &heartbeat, TimePoint now)
 {
-    impl_->endpoints.noteHeard(now);
+    impl_->endpoints.recordMessage(now);
     if (auto *entry = impl_->endpoints.findByAddress(address)) {
         entry->applyHeartbeat(heartbeat, now);
     }
@@ -132,9 +132,9 @@
 void DirectCalls::sidecarLost(const std::string &address)
 {
     if (auto *entry = impl_->endpoints.findByAddress(address)) {
-        entry->forgetSidecar();
+        entry->onSidecarLost();
     }
-    impl_->wishes.erase(address);
+    impl_->sentDemands.erase(address);
 }
 
 } // namespace anvilscale
--- a/src/direct/endpoint_table.cpp
+++ b/src/direct/endpoint_table.cpp
@@ -9,27 +9,27 @@
 namespace {
 
 // Sidecars send at least twice a second; three missed messages mean that the sidecar is gone or cut off.
-constexpr Duration stateLife = Milliseconds(1800);
+constexpr Duration stateLifetime = Milliseconds(1800);
 // Tolerated delay of a message beyond one and a half intervals.
-constexpr Duration lateMessage = Milliseconds(100);
-constexpr Duration usualInterval = Milliseconds(500); // of sidecars that do not report theirs
+constexpr Duration messageSlack = Milliseconds(100);
+constexpr Duration defaultMessageInterval = Milliseconds(500); // of sidecars that do not report theirs
 // Time to connect to a new endpoint's sidecar and receive its state.
-constexpr Duration firstStateTime = Milliseconds(1500);
+constexpr Duration firstStateTimeout = Milliseconds(1500);
 // Weight of the newest call in slowness, and how long the value counts without a new one.
 constexpr double slownessWeight = 0.3;
-constexpr Duration slownessLife = Seconds(3);
-constexpr double mostSlowness = 6;
-constexpr Duration leastEstimate = Milliseconds(30); // below this the ratio is not meaningful
+constexpr Duration slownessLifetime = Seconds(3);
+constexpr double maxSlowness = 6;
+constexpr Duration minEstimate = Milliseconds(30); // below this the ratio is not meaningful
 // Number of recently held adapters tracked until the sidecar reports how many copies its engine keeps.
-constexpr std::size_t mostRemembered = 512;
+constexpr std::size_t maxRecentlyHeld = 512;
 // Weight of the newest call in failureShare.
 constexpr double failureWeight = 0.05;
 // Avoidance after the first consecutive failure; doubles with each further one.
-constexpr Duration firstAvoidance = Milliseconds(500);
-constexpr std::uint32_t mostDoublings = 3;
+constexpr Duration initialAvoidance = Milliseconds(500);
+constexpr std::uint32_t maxDoublings = 3;
 
 // How long a removal counts for a record without a start time, whose id a later process may reuse.
-constexpr Duration departureLife = Seconds(60);
+constexpr Duration removalLifetime = Seconds(60);
 
 /// Finds an adapter in a sidecar's state, loaded or loading; nullptr if absent.
 const wire::DirectAdapter *findAdapter(const wire::DirectState &state, const AdapterName &name, bool loading)
@@ -45,77 +45,77 @@
 /// Compares by process start times, or by record creation if one is unknown.
 bool isYounger(const EndpointRecord &a, const EndpointRecord &b)
 {
-    const bool told = a.born != 0 && b.born != 0;
-    return told ? a.born > b.born : std::tie(a.era, a.created) > std::tie(b.era, b.created);
+    const bool reported = a.born != 0 && b.born != 0;
+    return reported ? a.born > b.born : std::tie(a.era, a.created) > std::tie(b.era, b.created);
 }
 
 } // namespace
 
-bool EndpointEntry::stateFresh(TimePoint now) const
+bool EndpointEntry::hasFreshState(TimePoint now) const
 {
-    return state && now - stateAt < stateLife;
+    return state && now - stateReceivedAt < stateLifetime;
 }
 
-bool EndpointEntry::sidecarSilent(TimePoint heard) const
+bool EndpointEntry::isSidecarSilent(TimePoint lastReceivedAt) const
 {
     if (!state) {
         return false; // not connected: its process has terminated, which shows nothing about the engine
     }
-    const Duration interval = state->interval_ms() == 0 ? usualInterval : Milliseconds(state->interval_ms());
-    return heard - stateAt > interval + interval / 2 + lateMessage;
+    const Duration interval = state->interval_ms() == 0 ? defaultMessageInterval : Milliseconds(state->interval_ms());
+    return lastReceivedAt - stateReceivedAt > interval + interval / 2 + messageSlack;
 }
 
-bool EndpointEntry::toldUnreachable(TimePoint now) const
+bool EndpointEntry::isReportedUnreachable(TimePoint now) const
 {
-    return stateFresh(now) && !state->reachable();
+    return hasFreshState(now) && !state->reachable();
 }
 
-bool EndpointEntry::leaves(TimePoint now) const
+bool EndpointEntry::isLeaving(TimePoint now) const
 {
-    return record.leaving || (stateFresh(now) && state->leaving() && state->endpoint_id() == record.id);
+    return record.leaving || (hasFreshState(now) && state->leaving() && state->endpoint_id() == record.id);
 }
 
-bool EndpointEntry::pauses(TimePoint now) const
+bool EndpointEntry::isPaused(TimePoint now) const
 {
     return now < pausedUntil;
 }
 
-bool EndpointEntry::stateExpected(TimePoint now) const
+bool EndpointEntry::isStateExpected(TimePoint now) const
 {
-    return !state && now - since < firstStateTime;
+    return !state && now - firstSeenAt < firstStateTimeout;
 }
 
-bool EndpointEntry::loadsFast(const AdapterName &name) const
+bool EndpointEntry::hasLocalCopy(const AdapterName &name) const
 {
-    return heldBefore.count(name) != 0;
+    return recentlyHeld.count(name) != 0;
 }
 
-bool EndpointEntry::endedBefore(std::uint64_t born) const
+bool EndpointEntry::isOlderThan(std::uint64_t startTimeMs) const
 {
-    return record.born != 0 && born > record.born;
+    return record.born != 0 && startTimeMs > record.born;
 }
 
-bool EndpointEntry::isOutdated(const wire::DirectState &told) const
+bool EndpointEntry::isOutdated(const wire::DirectState &reported) const
 {
-    return told.endpoint_id() == record.id && told.born() != 0 && told.born() < record.born;
+    return reported.endpoint_id() == record.id && reported.born() != 0 && reported.born() < record.born;
 }
 
-void EndpointEntry::applyState(const wire::DirectState &told, TimePoint now)
+void EndpointEntry::applyState(const wire::DirectState &reported, TimePoint now)
 {
-    state = told;
-    stateAt = now;
-    if (!told.models().empty()) {
+    state = reported;
+    stateReceivedAt = now;
+    if (!reported.models().empty()) {
         emptySince.reset();
     } else if (!emptySince) {
         emptySince = now;
     }
-    for (const auto &adapter : told.adapters()) {
-        heldBefore[{adapter.model(), adapter.adapter()}] = now;
+    for (const auto &adapter : reported.adapters()) {
+        recentlyHeld[{adapter.model(), adapter.adapter()}] = now;
     }
-    const std::size_t most = told.copies() != 0 ? told.copies() : mostRemembered;
-    while (heldBefore.size() > most) {
-        heldBefore.erase(std::min_element(heldBefore.begin(), heldBefore.end(),
-                                          [](const auto &a, const auto &b) { return a.second < b.second; }));
+    const std::size_t most = reported.copies() != 0 ? reported.copies() : maxRecentlyHeld;
+    while (recentlyHeld.size() > most) {
+        recentlyHeld.erase(std::min_element(recentlyHeld.begin(), recentlyHeld.end(),
+                                            [](const auto &a, const auto &b) { return a.second < b.second; }));
     }
 }
 
@@ -127,11 +127,11 @@
     state->set_unread_tokens(heartbeat.unread_tokens());
     state->set_waiting_tokens(heartbeat.waiting_tokens());
     state->set_room(heartbeat.room());
-    stateAt = now;
+    stateReceivedAt = now;
     return true;
 }
 
-void EndpointEntry::forgetSidecar()
+void EndpointEntry::onSidecarLost()
 {
     if (state && state->endpoint_id() == record.id) {
         record.models.assign(state->models().begin(), state->models().end());
@@ -147,38 +147,38 @@
 
 bool EndpointEntry::hasModel(const std::string &model, TimePoint now) const
 {
-    if (stateFresh(now)) {
+    if (hasFreshState(now)) {
         return std::find(state->models().begin(), state->models().end(), model) != state->models().end();
     }
     return std::find(record.models.begin(), record.models.end(), model) != record.models.end();
 }
 
-bool EndpointEntry::awaits(const AdapterName &name, TimePoint now) const
+bool EndpointEntry::isAwaiting(const AdapterName &name, TimePoint now) const
 {
-    if (waitingOn.count(name) != 0) {
+    if (waitingByAdapter.count(name) != 0) {
         return true;
     }
-    return stateFresh(now)
+    return hasFreshState(now)
            && std::any_of(state->awaited().begin(), state->awaited().end(), [&](const wire::DirectAdapter &adapter) {
                   return adapter.model() == name.first && adapter.adapter() == name.second;
               });
 }
 
-bool EndpointEntry::heldByRuns(const AdapterName &name, TimePoint now) const
+bool EndpointEntry::isReplacementBlocked(const AdapterName &name, TimePoint now) const
 {
-    const auto *adapter = stateFresh(now) ? findAdapter(*state, name, false) : nullptr;
+    const auto *adapter = hasFreshState(now) ? findAdapter(*state, name, false) : nullptr;
     return adapter != nullptr && adapter->in_use();
 }
 
 std::uint32_t EndpointEntry::recentCalls(const AdapterName &name, TimePoint now) const
 {
-    const auto *adapter = stateFresh(now) ? findAdapter(*state, name, false) : nullptr;
+    const auto *adapter = hasFreshState(now) ? findAdapter(*state, name, false) : nullptr;
     return adapter == nullptr ? 0 : adapter->recent_calls();
 }
 
 std::uint32_t EndpointEntry::heldVersion(const AdapterName &name, TimePoint now) const
 {
-    if (stateFresh(now)) {
+    if (hasFreshState(now)) {
         const auto *adapter = findAdapter(*state, name, false);
         return adapter == nullptr ? 0 : adapter->version();
     }
@@ -190,7 +190,7 @@
     return 0;
 }
 
-Presence EndpointEntry::presence(const AdapterName &name, std::uint32_t leastVersion, TimePoint now) const
+Presence EndpointEntry::presence(const AdapterName &name, std::uint32_t minVersion, TimePoint now) const
 {
     if (!hasModel(name.first, now)) {
         return Presence::Absent;
@@ -199,58 +199,58 @@
         return Presence::Resident;
     }
     const auto held = heldVersion(name, now);
-    if (held != 0 && held >= leastVersion) {
+    if (held != 0 && held >= minVersion) {
         return Presence::Resident;
     }
-    const bool loading = stateFresh(now) && findAdapter(*state, name, true) != nullptr;
+    const bool loading = hasFreshState(now) && findAdapter(*state, name, true) != nullptr;
     return loading ? Presence::Loading : Presence::Absent;
 }
 
-bool EndpointEntry::silentFor(Duration span, TimePoint now) const
+bool EndpointEntry::isSilentFor(Duration span, TimePoint now) const
 {
-    return unanswered != 0 && now - oldestSilence > span;
+    return awaitingFirstByte != 0 && now - silentSince > span;
 }
 
-double EndpointEntry::slownessNow(TimePoint now) const
+double EndpointEntry::currentSlowness(TimePoint now) const
 {
-    return now - slownessAt < slownessLife ? std::max(1.0, slowness) : 1.0;
+    return now - slownessUpdatedAt < slownessLifetime ? std::max(1.0, slowness) : 1.0;
 }
 
-void EndpointEntry::countFirstByte(Duration took, Duration estimated, TimePoint now)
+void EndpointEntry::recordFirstByte(Duration elapsed, Duration estimated, TimePoint now)
 {
     const double ratio =
-        std::chrono::duration<double>(took) / std::chrono::duration<double>(std::max(estimated, leastEstimate));
-    const double before = slownessNow(now);
-    slowness = before + slownessWeight * (std::min(ratio, mostSlowness) - before);
-    slownessAt = now;
+        std::chrono::duration<double>(elapsed) / std::chrono::duration<double>(std::max(estimated, minEstimate));
+    const double before = currentSlowness(now);
+    slowness = before + slownessWeight * (std::min(ratio, maxSlowness) - before);
+    slownessUpdatedAt = now;
 }
 
-void EndpointEntry::countByte(TimePoint now)
+void EndpointEntry::recordByte(TimePoint now)
 {
-    oldestSilence = now;
+    silentSince = now;
 }
 
-void EndpointEntry::countEnd(bool failed, TimePoint now)
+void EndpointEntry::recordEnd(bool failed, TimePoint now)
 {
     failureShare += failureWeight * ((failed ? 1.0 : 0.0) - failureShare);
     if (!failed) {
-        failuresInRow = 0;
+        consecutiveFailures = 0;
         return;
     }
-    avoidUntil = now + firstAvoidance * (1U << std::min(failuresInRow, mostDoublings));
-    ++failuresInRow;
+    avoidedUntil = now + initialAvoidance * (1U << std::min(consecutiveFailures, maxDoublings));
+    ++consecutiveFailures;
 }
 
-RecordEffect EndpointTable::put(const EndpointRecord &record, TimePoint now)
+RecordEffect EndpointTable::applyRecord(const EndpointRecord &record, TimePoint now)
 {
     const auto known = byId_.find(record.id);
     if (known == byId_.end()) {
         auto &entry = byId_[record.id];
-        entry.life = ++lastLife_;
-        entry.since = now;
+        entry.generation = ++lastGeneration_;
+        entry.firstSeenAt = now;
         entry.record = record;
-        entry.record.leaving = record.leaving || hasDeparted(record, now);
-        entry.saidLeaving = entry.record.leaving;
+        entry.record.leaving = record.leaving || wasRemovedLeaving(record, now);
+        entry.hasAnnouncedLeaving = entry.record.leaving;
         markSuperseded();
         return RecordEffect::Changed;
     }
@@ -258,45 +258,45 @@
     if (record.born != 0 && record.born < entry.record.born) {
         return RecordEffect::Stale;
     }
-    const auto born = std::max(record.born, entry.record.born); // a record may lack it
+    const auto startTimeMs = std::max(record.born, entry.record.born); // a record may lack it
     // Leaving is final. A delayed write from before must not attract calls to the endpoint again; only a new process,
     // which starts with resetProcess, is ready once more.
     const bool leaving = entry.record.leaving || record.leaving;
     const bool changed = entry.record.leaving != leaving;
     const bool moved = entry.record.address != record.address || entry.record.service != record.service
                        || entry.record.era != record.era || entry.record.created != record.created
-                       || entry.record.born != born;
+                       || entry.record.born != startTimeMs;
     entry.record = record;
-    entry.record.born = born;
+    entry.record.born = startTimeMs;
     entry.record.leaving = leaving;
-    entry.saidLeaving = entry.saidLeaving || record.leaving;
+    entry.hasAnnouncedLeaving = entry.hasAnnouncedLeaving || record.leaving;
     if (moved) {
         markSuperseded();
     }
     return changed ? RecordEffect::Changed : RecordEffect::None;
 }
 
-void EndpointTable::startAnew(EndpointEntry &entry, std::uint64_t born, TimePoint now)
+void EndpointTable::resetProcess(EndpointEntry &entry, std::uint64_t startTimeMs, TimePoint now)
 {
-    EndpointEntry fresh;
-    fresh.record = entry.record;
-    fresh.record.born = born;
-    fresh.record.leaving = false;
-    fresh.record.models.clear();
-    fresh.record.adapters.clear();
-    fresh.life = ++lastLife_;
-    fresh.since = now;
-    fresh.superseded = entry.superseded;
-    entry = std::move(fresh);
+    EndpointEntry newEntry;
+    newEntry.record = entry.record;
+    newEntry.record.born = startTimeMs;
+    newEntry.record.leaving = false;
+    newEntry.record.models.clear();
+    newEntry.record.adapters.clear();
+    newEntry.generation = ++lastGeneration_;
+    newEntry.firstSeenAt = now;
+    newEntry.isSuperseded = entry.isSuperseded;
+    entry = std::move(newEntry);
 }
 
-void EndpointTable::nameServices(std::set<std::string> services)
+void EndpointTable::setServices(std::set<std::string> services)
 {
     services_ = std::move(services);
     markSuperseded();
 }
 
-bool EndpointTable::namesEndpoint(const EndpointEntry &entry) const
+bool EndpointTable::hasConfiguredService(const EndpointEntry &entry) const
 {
     return !services_ || services_->count(entry.record.service) != 0;
 }
@@ -309,13 +309,13 @@
     std::map<std::string, const EndpointEntry *> youngest; // by address
     for (const auto &[id, entry] : byId_) {
         auto &best = youngest[entry.record.address];
-        if (namesEndpoint(entry) && (best == nullptr || isYounger(entry.record, best->record))) {
+        if (hasConfiguredService(entry) && (best == nullptr || isYounger(entry.record, best->record))) {
             best = &entry;
         }
     }
     for (auto &[id, entry] : byId_) {
         const auto *best = youngest[entry.record.address];
-        entry.superseded = best != nullptr && best != &entry;
+        entry.isSuperseded = best != nullptr && best != &entry;
     }
 }
 
@@ -329,28 +329,29 @@
 {
     EndpointEntry *result = nullptr;
     for (auto &[id, entry] : byId_) {
-        if (entry.record.address == address && !entry.superseded) {
+        if (entry.record.address == address && !entry.isSuperseded) {
             result = &entry;
         }
     }
     return result;
 }
 
-void EndpointTable::noteHeard(TimePoint now)
+void EndpointTable::recordMessage(TimePoint now)
 {
-    lastHeard_ = now;
+    lastReceivedAt_ = now;
 }
 
-TimePoint EndpointTable::lastHeard() const
+TimePoint EndpointTable::lastReceivedAt() const
 {
-    return lastHeard_;
+    return lastReceivedAt_;
 }
 
 // A store that has lost its last changes may return an older record for a moment.
-bool EndpointTable::hasDeparted(const EndpointRecord &record, TimePoint now) const
+bool EndpointTable::wasRemovedLeaving(const EndpointRecord &record, TimePoint now) const
 {
-    const auto found = departed_.find(record.id);
-    return found != departed_.end() && now - found->second.at < departureLife && record.born <= found->second.born;
+    const auto found = removedLeavers_.find(record.id);
+    return found != removedLeavers_.end() && now - found->second.removedAt < removalLifetime
+           && record.born <= found->second.startTimeMs;
 }
 
 void EndpointTable::remove(const std::string &id, TimePoint now)
@@ -359,20 +360,21 @@
     if (found == byId_.end()) {
         return;
     }
-    if (found->second.saidLeaving) {
-        std::erase_if(departed_, [now](const auto &item) { return now - item.second.at >= departureLife; });
-        departed_[id] = {found->second.record.born, now};
+    if (found->second.hasAnnouncedLeaving) {
+        std::erase_if(removedLeavers_,
+                      [now](const auto &item) { return now - item.second.removedAt >= removalLifetime; });
+        removedLeavers_[id] = {found->second.record.born, now};
     }
     byId_.erase(found);
     markSuperseded();
 }
 
-std::map<std::string, EndpointEntry> &EndpointTable::all()
+std::map<std::string, EndpointEntry> &EndpointTable::entries()
 {
     return byId_;
 }
 
-const std::map<std::string, EndpointEntry> &EndpointTable::all() const
+const std::map<std::string, EndpointEntry> &EndpointTable::entries() const
 {
     return byId_;
 }
--- a/src/direct/endpoint_table.h
+++ b/src/direct/endpoint_table.h
@@ -27,115 +27,115 @@
 struct EndpointEntry
 {
     EndpointRecord record;
-    std::uint64_t life = 0; // unique for each process; counters of calls belong to one generation
-    TimePoint since{}; // when it was first seen
+    std::uint64_t generation = 0; // unique for each process; counters of calls belong to one generation
+    TimePoint firstSeenAt{}; // when it was first seen
     // A later incarnation has the same address, and this record has not been removed yet.
-    bool superseded = false;
+    bool isSuperseded = false;
     std::uint32_t inFlight = 0; // own calls
-    std::uint32_t unanswered = 0; // own calls without a first byte; invariant: at most inFlight
+    std::uint32_t awaitingFirstByte = 0; // own calls without a first byte; invariant: at most inFlight
     double unreadTokens = 0; // prompt tokens that the engine probably has to read for them
     double slowness = 1; // smoothed ratio of measured to estimated time to the first byte
-    TimePoint slownessAt{};
-    TimePoint oldestSilence{}; // time of the last byte while calls are unanswered
-    TimePoint avoidUntil{};
-    bool saidLeaving = false; // reported in its record or with an answer; not set by a removal of its record
+    TimePoint slownessUpdatedAt{};
+    TimePoint silentSince{}; // time of the last byte while calls are unanswered
+    TimePoint avoidedUntil{};
+    bool hasAnnouncedLeaving = false; // reported in its record or with an answer; not set by a removal of its record
     TimePoint pausedUntil{}; // accepts no calls of this entry until then
-    std::uint32_t failuresInRow = 0;
+    std::uint32_t consecutiveFailures = 0;
     double failureShare = 0; // decayed share of own calls that failed
     std::optional<wire::DirectState> state;
-    TimePoint stateAt{};
+    TimePoint stateReceivedAt{};
     std::optional<TimePoint> emptySince; // since when the engine holds no model, as reported by its sidecar
-    double toldUnread = 0; // own unreadTokens as last sent to the sidecar
+    double lastSentUnreadTokens = 0; // own unreadTokens as last sent to the sidecar
     double waitingTokens = 0; // prompt tokens of own calls that wait for an adapter here
-    double toldWaiting = 0; // own waitingTokens as last sent to the sidecar
-    std::map<AdapterName, std::uint32_t> runningOn; // own calls by adapter
-    bool changed = true; // the demand may differ from the one last sent
-    bool newlyRunning = false; // a call was sent on an adapter that the last demand does not list as running
-    std::map<AdapterName, std::uint32_t> startedOn; // since the last demand
-    std::set<CallHandle> waiting; // own calls that wait for an adapter here
-    std::map<AdapterName, std::uint32_t> waitingOn; // the same by adapter
+    double lastSentWaitingTokens = 0; // own waitingTokens as last sent to the sidecar
+    std::map<AdapterName, std::uint32_t> runningByAdapter; // own calls by adapter
+    bool hasDemandChanged = true; // the demand may differ from the one last sent
+    bool hasUnsentRun = false; // a call was sent on an adapter that the last demand does not list as running
+    std::map<AdapterName, std::uint32_t> startedByAdapter; // since the last demand
+    std::set<CallHandle> waitingCalls; // own calls that wait for an adapter here
+    std::map<AdapterName, std::uint32_t> waitingByAdapter; // the same by adapter
     // Adapters that the engine recently held, with the last time, and loads from its own memory.
-    std::map<AdapterName, TimePoint> heldBefore;
+    std::map<AdapterName, TimePoint> recentlyHeld;
 
-    Presence presence(const AdapterName &name, std::uint32_t leastVersion, TimePoint now) const;
+    Presence presence(const AdapterName &name, std::uint32_t minVersion, TimePoint now) const;
     /// Version of a resident adapter; 0 if unknown.
     std::uint32_t heldVersion(const AdapterName &name, TimePoint now) const;
     /// True if calls already wait for this adapter here, so that it will be loaded anyway.
-    bool awaits(const AdapterName &name, TimePoint now) const;
+    bool isAwaiting(const AdapterName &name, TimePoint now) const;
     /// True if running calls hold an older version, which cannot be replaced before they end.
-    bool heldByRuns(const AdapterName &name, TimePoint now) const;
+    bool isReplacementBlocked(const AdapterName &name, TimePoint now) const;
     /// Recent calls of the adapter here, as reported by the sidecar; 0 for few.
     std::uint32_t recentCalls(const AdapterName &name, TimePoint now) const;
     bool hasModel(const std::string &model, TimePoint now) const;
-    bool stateFresh(TimePoint now) const;
+    bool hasFreshState(TimePoint now) const;
     /// True if the sidecar has missed its interval while other sidecars sent messages until `lastReceivedAt`: its VM
     /// has probably stopped. Compared with the last message of any sidecar and not with the clock, so that a paused
     /// entry does not take all connected sidecars for silent.
-    bool sidecarSilent(TimePoint heard) const;
+    bool isSidecarSilent(TimePoint lastReceivedAt) const;
     /// True if its sidecar reports that it cannot reach the engine; the record of a crashed engine lapses only later.
-    bool toldUnreachable(TimePoint now) const;
+    bool isReportedUnreachable(TimePoint now) const;
     /// True if its record or its sidecar reports that it accepts no new calls.
-    bool leaves(TimePoint now) const;
+    bool isLeaving(TimePoint now) const;
     /// True if it has asked this entry to send no calls for a while.
-    bool pauses(TimePoint now) const;
+    bool isPaused(TimePoint now) const;
     /// True if its sidecar has not sent a state yet, but probably will soon.
-    bool stateExpected(TimePoint now) const;
+    bool isStateExpected(TimePoint now) const;
     /// True if the engine probably still has a copy in its memory, so that it loads without the weight store.
-    bool loadsFast(const AdapterName &name) const;
+    bool hasLocalCopy(const AdapterName &name) const;
     /// True if a process with this start time is a later one under the same id.
-    bool endedBefore(std::uint64_t born) const;
+    bool isOlderThan(std::uint64_t startTimeMs) const;
     /// True if the state describes an earlier process.
-    bool isOutdated(const wire::DirectState &told) const;
-    void applyState(const wire::DirectState &told, TimePoint now);
+    bool isOutdated(const wire::DirectState &reported) const;
+    void applyState(const wire::DirectState &reported, TimePoint now);
     /// Returns false if the heartbeat is based on a state that this entry does not have.
     bool applyHeartbeat(const wire::DirectHeartbeat &heartbeat, TimePoint now);
     /// The sidecar is disconnected: the engine gets no orders, so it keeps what it last held.
-    void forgetSidecar();
+    void onSidecarLost();
     /// True if it has unanswered calls and has sent nothing for `span`.
-    bool silentFor(Duration span, TimePoint now) const;
+    bool isSilentFor(Duration span, TimePoint now) const;
     /// Current ratio of measured to estimated reading time; at least 1.
-    double slownessNow(TimePoint now) const;
-    void countFirstByte(Duration took, Duration estimated, TimePoint now);
-    void countByte(TimePoint now);
-    void countEnd(bool failed, TimePoint now);
+    double currentSlowness(TimePoint now) const;
+    void recordFirstByte(Duration elapsed, Duration estimated, TimePoint now);
+    void recordByte(TimePoint now);
+    void recordEnd(bool failed, TimePoint now);
 };
 
 class EndpointTable
 {
 public:
     /// Applies a record of the known process, or of one under a new id. A later process needs resetProcess first.
-    RecordEffect put(const EndpointRecord &record, TimePoint now);
+    RecordEffect applyRecord(const EndpointRecord &record, TimePoint now);
     /// Resets the entry for a new process under the same id.
-    void startAnew(EndpointEntry &entry, std::uint64_t born, TimePoint now);
+    void resetProcess(EndpointEntry &entry, std::uint64_t startTimeMs, TimePoint now);
     /// Ignores the addresses of records whose service is not configured.
-    void nameServices(std::set<std::string> services);
+    void setServices(std::set<std::string> services);
     /// Returns nullptr if the id is unknown.
     EndpointEntry *find(const std::string &id);
     EndpointEntry *findByAddress(const std::string &address);
     /// Records the time of a message from any sidecar.
-    void noteHeard(TimePoint now);
-    TimePoint lastHeard() const;
+    void recordMessage(TimePoint now);
+    TimePoint lastReceivedAt() const;
     /// An endpoint that was leaving still counts as leaving if its record reappears.
     void remove(const std::string &id, TimePoint now);
-    std::map<std::string, EndpointEntry> &all();
-    const std::map<std::string, EndpointEntry> &all() const;
+    std::map<std::string, EndpointEntry> &entries();
+    const std::map<std::string, EndpointEntry> &entries() const;
 
 private:
-    struct Departure
+    struct LeaverRemoval
     {
-        std::uint64_t born = 0;
-        TimePoint at;
+        std::uint64_t startTimeMs = 0;
+        TimePoint removedAt;
     };
 
-    bool hasDeparted(const EndpointRecord &record, TimePoint now) const;
-    bool namesEndpoint(const EndpointEntry &entry) const;
+    bool wasRemovedLeaving(const EndpointRecord &record, TimePoint now) const;
+    bool hasConfiguredService(const EndpointEntry &entry) const;
     void markSuperseded();
 
     std::map<std::string, EndpointEntry> byId_;
     std::optional<std::set<std::string>> services_; // empty without a configuration
-    std::map<std::string, Departure> departed_; // endpoints that were removed while leaving, by id
-    std::uint64_t lastLife_ = 0;
-    TimePoint lastHeard_{};
+    std::map<std::string, LeaverRemoval> removedLeavers_; // endpoints that were removed while leaving, by id
+    std::uint64_t lastGeneration_ = 0;
+    TimePoint lastReceivedAt_{};
 };
 
 } // namespace anvilscale
--- a/src/direct/estimates.cpp
+++ b/src/direct/estimates.cpp
@@ -9,27 +9,27 @@
 
 namespace {
 
-constexpr std::size_t refreshes = 8; // sorts per full replacement of the samples
+constexpr std::size_t sortsPerReplacement = 8; // sorts per full replacement of the samples
 
 // ReadingSpeed.
 constexpr std::size_t fitSamples = 64;
-constexpr std::size_t leastSamples = 16;
+constexpr std::size_t minFitSamples = 16;
 constexpr std::size_t fitEvery = 8;
-constexpr double leastGap = 100; // minimum difference in tokens between two samples of a slope
-constexpr double longFactor = 6; // ratio to the median length from which prompts show the growth
-constexpr double alone = 0.8; // minimum share of the prompt's own tokens among those read
+constexpr double minTokenGap = 100; // minimum difference in tokens between two samples of a slope
+constexpr double longPromptFactor = 6; // ratio to the median length from which prompts show the growth
+constexpr double minOwnShare = 0.8; // minimum share of the prompt's own tokens among those read
 constexpr std::size_t growthSamples = 16;
-constexpr double mostGrowth = 1e-3;
+constexpr double maxGrowth = 1e-3;
 // Used until measured; orders endpoints, but refuses no call.
-constexpr double guessedMsPerToken = 1.0 / 20;
+constexpr double defaultMsPerToken = 1.0 / 20;
 
 // ServiceEstimates.
-constexpr std::size_t leastForSilence = 32;
+constexpr std::size_t minSilenceSamples = 32;
 constexpr double silenceQuantile = 0.95;
 constexpr double silenceFactor = 4;
-constexpr Duration leastSilence = Milliseconds(300);
-constexpr Duration mostSilence = Milliseconds(3000);
-constexpr Duration silenceBeforeMeasured = Milliseconds(1500);
+constexpr Duration minSilence = Milliseconds(300);
+constexpr Duration maxSilence = Milliseconds(3000);
+constexpr Duration defaultSilence = Milliseconds(1500);
 
 double median(std::vector<double> &values)
 {
@@ -40,21 +40,21 @@
 
 } // namespace
 
-RecentSamples::RecentSamples(std::size_t most)
-    : most_(most)
+RecentSamples::RecentSamples(std::size_t capacity)
+    : capacity_(capacity)
 {
 }
 
 void RecentSamples::add(double value)
 {
-    if (ring_.size() < most_) {
+    if (ring_.size() < capacity_) {
         ring_.push_back(value);
     } else {
         ring_[next_] = value;
-        next_ = (next_ + 1) % most_;
+        next_ = (next_ + 1) % capacity_;
     }
-    ++unsorted_;
-    if (ring_.size() < most_ || unsorted_ * refreshes >= most_) {
+    ++addedSinceSort_;
+    if (ring_.size() < capacity_ || addedSinceSort_ * sortsPerReplacement >= capacity_) {
         refresh();
     }
 }
@@ -63,7 +63,7 @@
 {
     sorted_ = ring_;
     std::sort(sorted_.begin(), sorted_.end());
-    unsorted_ = 0;
+    addedSinceSort_ = 0;
 }
 
 std::size_t RecentSamples::count() const
@@ -86,19 +86,19 @@
 }
 
 ReadingSpeed::ReadingSpeed()
-    : growths_(growthSamples)
-    , msPerToken_(guessedMsPerToken)
+    : growthSamples_(growthSamples)
+    , msPerToken_(defaultMsPerToken)
 {
 }
 
-void ReadingSpeed::add(double tokens, double ownTokens, Duration took)
+void ReadingSpeed::add(double tokens, double ownTokens, Duration elapsed)
 {
-    const double ms = milliseconds(took);
+    const double ms = milliseconds(elapsed);
     const Sample sample{tokens, ms};
-    if (measured_ && ownTokens > alone * tokens && samples_.size() == fitSamples) {
-        if (ownTokens > longFactor * usualTokens()) {
+    if (isMeasured_ && ownTokens > minOwnShare * tokens && samples_.size() == fitSamples) {
+        if (ownTokens > longPromptFactor * medianTokens()) {
             const double linear = baseMs_ + tokens * msPerToken_;
-            growths_.add((ms - linear) / (msPerToken_ * ownTokens * ownTokens / 2));
+            growthSamples_.add((ms - linear) / (msPerToken_ * ownTokens * ownTokens / 2));
             fitGrowth();
             return;
         }
@@ -109,12 +109,12 @@
         samples_[next_] = sample;
         next_ = (next_ + 1) % fitSamples;
     }
-    if (++added_ % fitEvery == 0 && samples_.size() >= leastSamples) {
+    if (++addedCount_ % fitEvery == 0 && samples_.size() >= minFitSamples) {
         fit();
     }
 }
 
-double ReadingSpeed::usualTokens() const
+double ReadingSpeed::medianTokens() const
 {
     std::vector<double> lengths;
     lengths.reserve(samples_.size());
@@ -134,11 +134,11 @@
     std::vector<double> slopes;
     for (std::size_t i = 0; i < half; ++i) {
         const double gap = sorted[i + half].tokens - sorted[i].tokens;
-        if (gap >= leastGap) {
+        if (gap >= minTokenGap) {
             slopes.push_back((sorted[i + half].ms - sorted[i].ms) / gap);
         }
     }
-    if (slopes.size() < leastSamples / 2) {
+    if (slopes.size() < minFitSamples / 2) {
         return;
     }
     const double slope = median(slopes);
@@ -152,17 +152,17 @@
     }
     msPerToken_ = slope;
     baseMs_ = std::max(0.0, median(rests));
-    measured_ = true;
+    isMeasured_ = true;
 }
 
 void ReadingSpeed::fitGrowth()
 {
-    growth_ = std::clamp(growths_.quantile(0.5), 0.0, mostGrowth);
+    growth_ = std::clamp(growthSamples_.quantile(0.5), 0.0, maxGrowth);
 }
 
-bool ReadingSpeed::measured() const
+bool ReadingSpeed::isMeasured() const
 {
-    return measured_;
+    return isMeasured_;
 }
 
 double ReadingSpeed::baseMs() const
@@ -175,24 +175,24 @@
     return msPerToken_;
 }
 
-double ReadingSpeed::aloneMs(double work) const
+double ReadingSpeed::idleEngineMs(double work) const
 {
     return baseMs_ + work * msPerToken_;
 }
 
 // Attention makes each token depend on all preceding ones.
-double ReadingSpeed::work(double fresh, double kept) const
+double ReadingSpeed::work(double uncached, double cached) const
 {
-    return fresh + growth_ * fresh * (kept + fresh / 2);
+    return uncached + growth_ * uncached * (cached + uncached / 2);
 }
 
-Duration ServiceEstimates::silence() const
+Duration ServiceEstimates::silenceTimeout() const
 {
-    if (firstByteMs.count() < leastForSilence) {
-        return silenceBeforeMeasured;
+    if (firstByteMs.count() < minSilenceSamples) {
+        return defaultSilence;
     }
     const auto late = fromMilliseconds(silenceFactor * firstByteMs.quantile(silenceQuantile));
-    return std::clamp<Duration>(late, leastSilence, mostSilence);
+    return std::clamp<Duration>(late, minSilence, maxSilence);
 }
 
 } // namespace anvilscale
--- a/src/direct/estimates.h
+++ b/src/direct/estimates.h
@@ -17,13 +17,13 @@
 }
 
 /// Limit of an engine on concurrent adapter loads.
-constexpr std::uint32_t engineLoadsAtOnce = 4;
+constexpr std::uint32_t maxEngineLoads = 4;
 
 /// Quantiles of the most recent samples.
 class RecentSamples
 {
 public:
-    explicit RecentSamples(std::size_t most);
+    explicit RecentSamples(std::size_t capacity);
     void add(double value);
     std::size_t count() const;
     /// 0 without samples.
@@ -33,11 +33,11 @@
 private:
     void refresh();
 
-    std::size_t most_;
+    std::size_t capacity_;
     std::size_t next_ = 0; // index of the oldest sample once the ring is full
     std::vector<double> ring_; // invariant: at most capacity_ samples
     std::vector<double> sorted_; // sorted copy, refreshed only every few samples
-    std::size_t unsorted_ = 0; // samples added since the last sort
+    std::size_t addedSinceSort_ = 0; // samples added since the last sort
 };
 
 /// Time to the first token of a prompt: a base, and a time per token that grows with the prompt length.
@@ -46,14 +46,14 @@
 public:
     ReadingSpeed();
     /// Adds a sample: `tokens` were read until the first byte, `ownTokens` of them for one prompt.
-    void add(double tokens, double ownTokens, Duration took);
-    bool measured() const;
+    void add(double tokens, double ownTokens, Duration elapsed);
+    bool isMeasured() const;
     double baseMs() const;
     double msPerToken() const;
     /// Time in ms to the first byte of a prompt of this much work at an idle engine.
-    double aloneMs(double work) const;
+    double idleEngineMs(double work) const;
     /// Work of reading `uncached` tokens after `cached` ones, in tokens of a short prompt.
-    double work(double fresh, double kept) const;
+    double work(double uncached, double cached) const;
 
 private:
     struct Sample
@@ -61,18 +61,18 @@
         double tokens = 0;
         double ms = 0;
     };
-    double usualTokens() const;
+    double medianTokens() const;
     void fit();
     void fitGrowth();
 
     std::vector<Sample> samples_; // ring
     std::size_t next_ = 0;
-    std::size_t added_ = 0;
-    RecentSamples growths_; // samples from long prompts
+    std::size_t addedCount_ = 0;
+    RecentSamples growthSamples_; // samples from long prompts
     double baseMs_ = 0;
     double msPerToken_;
     double growth_ = 0; // additional share of the work of a token per preceding token
-    bool measured_ = false;
+    bool isMeasured_ = false;
 };
 
 /// Estimates for all endpoints of one service; differences between endpoints are kept in EndpointEntry.
@@ -80,12 +80,12 @@
 {
     ReadingSpeed reading; // engines
     RecentSamples runMs{64}; // engines: how long a call occupies its slot
-    RecentSamples plainMs{64}; // plain endpoints: duration of calls without other calls of this entry
+    RecentSamples plainRunMs{64}; // plain endpoints: duration of calls without other calls of this entry
     RecentSamples firstByteMs{128};
     double loadMs = 0; // adapter load from the weight store, as last reported by a sidecar; 0 if unknown
 
     /// Time without a byte after which an endpoint with unanswered calls counts as silent.
-    Duration silence() const;
+    Duration silenceTimeout() const;
 };
 
 } // namespace anvilscale
--- a/src/direct/keeper_orders.cpp
+++ b/src/direct/keeper_orders.cpp
@@ -9,25 +9,25 @@
 
 namespace {
 
-constexpr Duration afterConflict = Milliseconds(30);
-constexpr Duration afterRejection = Milliseconds(500);
+constexpr Duration conflictBackoff = Milliseconds(30);
+constexpr Duration rejectionBackoff = Milliseconds(500);
 // Half-life of an adapter's call rate; popularity shifts within seconds.
 constexpr double useHalfLifeSeconds = 6.0;
-constexpr double leastToldCalls = 4; // minimum call rate of an adapter that is reported to entries
+constexpr double minReportedCalls = 4; // minimum call rate of an adapter that is reported to entries
 // Maximum number of tracked adapters; bounds the memory of a sidecar that runs for months.
-constexpr std::size_t mostUses = 4096;
-constexpr Duration useLife = Seconds(60); // older calls contribute less than a thousandth
+constexpr std::size_t maxUsages = 4096;
+constexpr Duration usageLifetime = Seconds(60); // older calls contribute less than a thousandth
 // Keeps a newly loaded adapter until entries have received its state and sent the first call.
 constexpr Duration settleTime = Milliseconds(300);
 // Larger than any clock step, for an engine that has seen a higher number from an earlier start.
 constexpr std::uint64_t fenceStep = 60'000;
 // How long an unanswered order may still be applied by the engine.
-constexpr Duration lostOrderLife = Seconds(30);
+constexpr Duration lostOrderLifetime = Seconds(30);
 // Ratio to the usual answer time from which an answer counts as lost.
-constexpr double lostAfter = 8;
-constexpr Duration shortestOrderTime = Milliseconds(15); // covers scheduling delays of the process
-constexpr Duration longestOrderTime = Milliseconds(80); // also used until enough answers are measured
-constexpr std::size_t leastAnswers = 8;
+constexpr double timeoutFactor = 8;
+constexpr Duration minOrderTimeout = Milliseconds(15); // covers scheduling delays of the process
+constexpr Duration maxOrderTimeout = Milliseconds(80); // also used until enough answers are measured
+constexpr std::size_t minAnswerSamples = 8;
 
 double decayed(double rate, TimePoint since, TimePoint now)
 {
@@ -37,51 +37,51 @@
 
 } // namespace
 
-void AdapterKeeper::Impl::touch(const AdapterKey &key, std::uint32_t starts, TimePoint now)
+void AdapterKeeper::Impl::recordUse(const AdapterKey &key, std::uint32_t starts, TimePoint now)
 {
-    if (uses.size() >= mostUses) {
-        std::erase_if(uses, [now](const auto &item) { return now - item.second.last > useLife; });
+    if (usages.size() >= maxUsages) {
+        std::erase_if(usages, [now](const auto &item) { return now - item.second.lastUsedAt > usageLifetime; });
     }
-    auto &use = uses[key];
-    use.rate = decayed(use.rate, use.last, now) + starts;
-    use.last = now;
+    auto &use = usages[key];
+    use.callRate = decayed(use.callRate, use.lastUsedAt, now) + starts;
+    use.lastUsedAt = now;
 }
 
 std::uint32_t AdapterKeeper::Impl::recentCalls(const AdapterKey &key, TimePoint now) const
 {
-    const auto use = uses.find(key);
-    const double rate = use == uses.end() ? 0 : decayed(use->second.rate, use->second.last, now);
-    return rate < leastToldCalls ? 0 : std::bit_floor(static_cast<std::uint32_t>(rate));
+    const auto use = usages.find(key);
+    const double rate = use == usages.end() ? 0 : decayed(use->second.callRate, use->second.lastUsedAt, now);
+    return rate < minReportedCalls ? 0 : std::bit_floor(static_cast<std::uint32_t>(rate));
 }
 
 EngineOrder AdapterKeeper::Impl::makeOrder(EngineOrderKind kind, const AdapterKey &key)
 {
     EngineOrder order;
-    order.id = OrderHandle{++lastOrder};
+    order.id = OrderHandle{++lastOrderId};
     order.kind = kind;
     order.model = key.first;
     order.adapter = key.second;
     order.expected = report->sequence;
-    order.fence = fence;
+    order.fence = fencingNumber;
     order.endpointId = endpointId;
     return order;
 }
 
 // Selects the least used adapter that has no running or waiting calls. One in use is never evicted: the engine would
 // wait for its calls to end and refuse all other orders meanwhile.
-std::optional<AdapterKeeper::Impl::AdapterKey> AdapterKeeper::Impl::victim(TimePoint now) const
+std::optional<AdapterKeeper::Impl::AdapterKey> AdapterKeeper::Impl::selectVictim(TimePoint now) const
 {
     std::optional<AdapterKey> worst;
     double least = 0;
     for (const auto &adapter : report->adapters) {
         const AdapterKey key{adapter.model, adapter.adapter};
-        const auto wish = wishFor(key);
-        const auto use = uses.find(key);
-        const bool settling = use != uses.end() && now - use->second.last < settleTime;
-        if (wish.running != 0 || wish.waiting != 0 || settling) {
+        const auto demand = totalDemand(key);
+        const auto use = usages.find(key);
+        const bool settling = use != usages.end() && now - use->second.lastUsedAt < settleTime;
+        if (demand.running != 0 || demand.waiting != 0 || settling) {
             continue;
         }
-        const double rate = use == uses.end() ? 0 : decayed(use->second.rate, use->second.last, now);
+        const double rate = use == usages.end() ? 0 : decayed(use->second.callRate, use->second.lastUsedAt, now);
         if (!worst || rate < least) {
             worst = key;
             least = rate;
@@ -92,26 +92,27 @@
 
 // All loads share the bandwidth of the weight store. Where it is short, more concurrent loads finish no earlier and
 // delay the most urgent ones.
-std::size_t AdapterKeeper::Impl::loadsAtOnce() const
+std::size_t AdapterKeeper::Impl::maxConcurrentLoads() const
 {
-    return policy.has(Mechanism::LoadWindow) ? loads.window() : engineLoadsAtOnce;
+    return policy.has(Mechanism::LoadWindow) ? loadTimes.window() : maxEngineLoads;
 }
 
 // The engine on the same VM answers an order within milliseconds. A short timeout keeps loads from being delayed by
 // lost answers.
 Duration AdapterKeeper::Impl::orderTimeout() const
 {
-    if (answerMs.count() < leastAnswers || !policy.has(Mechanism::LearnedOrders)) {
-        return longestOrderTime;
+    if (answerTimesMs.count() < minAnswerSamples || !policy.has(Mechanism::LearnedOrders)) {
+        return maxOrderTimeout;
     }
-    const auto usual = fromMilliseconds(lostAfter * answerMs.quantile(0.9));
-    return std::clamp<Duration>(usual, shortestOrderTime, longestOrderTime);
+    const auto usual = fromMilliseconds(timeoutFactor * answerTimesMs.quantile(0.9));
+    return std::clamp<Duration>(usual, minOrderTimeout, maxOrderTimeout);
 }
 
-std::optional<EngineOrder> AdapterKeeper::Impl::orderFor(const AdapterKey &key, const Wish &wish, TimePoint now)
+std::optional<EngineOrder> AdapterKeeper::Impl::selectOrder(const AdapterKey &key, const AdapterDemand &demand,
+                                                            TimePoint now)
 {
     if (!hasModel(key.first)) {
-        const auto *size = sizeOf(key.first);
+        const auto *size = findModelSize(key.first);
         const bool fits = size != nullptr && usedMb() + size->weights_mb() <= plan.weights_mb();
         if (report->busy || !fits) {
             return std::nullopt;
@@ -121,59 +122,59 @@
     if (key.second.empty() || isPending(key)) {
         return std::nullopt;
     }
-    const auto *present = held(key);
-    if (present != nullptr && present->version >= wish.leastVersion) {
+    const auto *present = findHeld(key);
+    if (present != nullptr && present->version >= demand.minVersion) {
         return std::nullopt;
     }
-    if (report->pending.size() >= loadsAtOnce()) {
+    if (report->pending.size() >= maxConcurrentLoads()) {
         return std::nullopt;
     }
     if (present != nullptr) {
         // A newer version replaces the old one in its slot. The engine would wait for running calls on the old
         // version and accept no other order, so that nothing is ordered while there are any.
-        return wish.running == 0 ? std::optional(makeOrder(EngineOrderKind::Load, key)) : std::nullopt;
+        return demand.running == 0 ? std::optional(makeOrder(EngineOrderKind::Load, key)) : std::nullopt;
     }
-    if (wish.waiting == 0) {
+    if (demand.waiting == 0) {
         return std::nullopt;
     }
-    const auto *size = sizeOf(key.first);
-    const std::size_t needed = lateLoadMayFollow(now) ? 2 : 1;
+    const auto *size = findModelSize(key.first);
+    const std::size_t needed = mayLostLoadApply(now) ? 2 : 1;
     const bool slotFree = report->adapters.size() + report->pending.size() + needed <= plan.adapter_slots();
     const double most = plan.weights_mb();
     const bool fits = size != nullptr && usedMb() + static_cast<double>(needed) * size->adapter_mb() <= most;
     if (slotFree && fits) {
         return makeOrder(EngineOrderKind::Load, key);
     }
-    const auto out = victim(now);
+    const auto out = selectVictim(now);
     return out ? std::optional(makeOrder(EngineOrderKind::Unload, *out)) : std::nullopt;
 }
 
 std::optional<EngineOrder> AdapterKeeper::Impl::nextOrder(TimePoint now)
 {
     const bool known =
-        report && reachable && plan.config_version() != 0 && !endpointId.empty() && endpointId != rejectedId;
-    if (!known || underWay || awaited || now < notBefore) {
+        report && isReachable && plan.config_version() != 0 && !endpointId.empty() && endpointId != rejectedId;
+    if (!known || pendingOrder || unconfirmedOrder || now < nextOrderAt) {
         return std::nullopt;
     }
     // Loads adapters first that let the most calls meet their objective: late calls lose little by a longer wait and
     // would make others late. Ties are broken by the number of waiting calls.
-    std::map<AdapterKey, Wish> wanted;
-    for (const auto &[peer, ofPeer] : wishes) {
-        for (const auto &[key, wish] : ofPeer) {
-            wanted.try_emplace(key, wishFor(key));
+    std::map<AdapterKey, AdapterDemand> demanded;
+    for (const auto &[peer, fromPeer] : demands) {
+        for (const auto &[key, demand] : fromPeer) {
+            demanded.try_emplace(key, totalDemand(key));
         }
     }
     const bool inTimeFirst = policy.has(Mechanism::InTimeFirst);
-    const auto urgency = [inTimeFirst](const Wish &wish) {
-        return std::pair(inTimeFirst ? wish.inTime : 0, wish.waiting);
+    const auto urgency = [inTimeFirst](const AdapterDemand &demand) {
+        return std::pair(inTimeFirst ? demand.inTime : 0, demand.waiting);
     };
-    std::vector<std::pair<AdapterKey, Wish>> order(wanted.begin(), wanted.end());
+    std::vector<std::pair<AdapterKey, AdapterDemand>> order(demanded.begin(), demanded.end());
     std::stable_sort(order.begin(), order.end(),
                      [&](const auto &a, const auto &b) { return urgency(a.second) > urgency(b.second); });
-    for (const auto &[key, wish] : order) {
-        if (auto next = orderFor(key, wish, now)) {
-            underWay = next;
-            sentAt = now;
+    for (const auto &[key, demand] : order) {
+        if (auto next = selectOrder(key, demand, now)) {
+            pendingOrder = next;
+            orderSentAt = now;
             return next;
         }
     }
@@ -184,62 +185,62 @@
                                      TimePoint now)
 {
     results.add(result);
-    if (!underWay || underWay->id != id) {
+    if (!pendingOrder || pendingOrder->id != id) {
         return;
     }
-    const auto order = *std::exchange(underWay, std::nullopt);
-    notBefore = now;
+    const auto order = *std::exchange(pendingOrder, std::nullopt);
+    nextOrderAt = now;
     if (result != EngineOrderResult::NoAnswer) {
-        answerMs.add(milliseconds(now - sentAt));
+        answerTimesMs.add(milliseconds(now - orderSentAt));
     }
     switch (result) {
     case EngineOrderResult::Accepted:
     case EngineOrderResult::AlreadyHolds:
-        noteAccepted(order, now);
+        onOrderAccepted(order, now);
         return;
     case EngineOrderResult::Conflict:
-        notBefore = now + afterConflict;
+        nextOrderAt = now + conflictBackoff;
         return;
     case EngineOrderResult::FencedOff:
         // Only this VM orders its engine, so the higher number is from an earlier start with another clock.
-        fence += fenceStep;
+        fencingNumber += fenceStep;
         return;
     case EngineOrderResult::OtherIncarnation:
         // The engine has restarted. If the answer does not name its new incarnation, the entries report it from the
         // store.
         rejectedId = order.endpointId;
-        takeIncarnation(incarnation.empty() ? toldId : incarnation);
-        notBefore = now + afterConflict;
+        applyIncarnation(incarnation.empty() ? reportedId : incarnation);
+        nextOrderAt = now + conflictBackoff;
         return;
     case EngineOrderResult::NoAnswer:
-        noteLost(order, now);
+        onOrderLost(order, now);
         // The order may still be applied seconds later. The next one follows at once with the same expected sequence,
         // so that the engine accepts only one of them.
         return;
     case EngineOrderResult::Rejected:
     case EngineOrderResult::Count:
-        notBefore = now + afterRejection;
+        nextOrderAt = now + rejectionBackoff;
         return;
     }
 }
 
-void AdapterKeeper::Impl::noteAccepted(const EngineOrder &order, TimePoint now)
+void AdapterKeeper::Impl::onOrderAccepted(const EngineOrder &order, TimePoint now)
 {
-    awaited = order;
+    unconfirmedOrder = order;
     if (order.kind != EngineOrderKind::Load) {
         return;
     }
     if (order.adapter.empty()) {
-        loads.modelBegan(now);
+        loadTimes.onModelLoadStarted(now);
         return;
     }
     const AdapterKey key{order.model, order.adapter};
-    loads.began(key, wishFor(key).leastVersion, now);
+    loadTimes.onLoadStarted(key, totalDemand(key).minVersion, now);
 }
 
-void AdapterKeeper::Impl::noteLost(const EngineOrder &order, TimePoint now)
+void AdapterKeeper::Impl::onOrderLost(const EngineOrder &order, TimePoint now)
 {
-    std::erase_if(lostLoads, [now](const LostLoad &lost) { return now - lost.sentAt > lostOrderLife; });
+    std::erase_if(lostLoads, [now](const LostLoad &lost) { return now - lost.sentAt > lostOrderLifetime; });
     if (order.kind == EngineOrderKind::Load) {
         lostLoads.push_back({order.expected, now});
     }
@@ -248,10 +249,11 @@
 // True if a lost load from before a restart could be accepted after the next order. Within one incarnation the
 // expected sequence excludes this, but after a restart the sequence reaches the same number again. One slot stays
 // free then, which prevents overloading and crashing a full engine.
-bool AdapterKeeper::Impl::lateLoadMayFollow(TimePoint now) const
+bool AdapterKeeper::Impl::mayLostLoadApply(TimePoint now) const
 {
     return std::any_of(lostLoads.begin(), lostLoads.end(), [&](const LostLoad &lost) {
-        return lost.ofEarlierStart && lost.expected == report->sequence + 1 && now - lost.sentAt <= lostOrderLife;
+        return lost.isFromEarlierIncarnation && lost.expectedSequence == report->sequence + 1
+               && now - lost.sentAt <= lostOrderLifetime;
     });
 }
 
--- a/src/direct/load_times.cpp
+++ b/src/direct/load_times.cpp
@@ -7,169 +7,169 @@
 
 namespace {
 
-constexpr std::size_t usualSamples = 48;
+constexpr std::size_t idleStoreSamples = 48;
 constexpr std::size_t recentSamples = 6;
 constexpr std::size_t copySamples = 24;
 // Quantile of the load times that represents an idle store; congestion only makes loads longer.
 constexpr double idleQuantile = 0.1;
 // Ratio to the usual load time below which a load counts as one from a copy.
-constexpr double copyShare = 0.5;
+constexpr double maxCopyShare = 0.5;
 // Ratios to the usual load time: up to the first the store is idle, beyond the second it is overloaded.
-constexpr double fullSpeed = 1.25;
-constexpr double overloaded = 1.6;
-constexpr double narrowing = 0.7;
-constexpr std::size_t leastToNarrow = 4;
+constexpr double uncongestedRatio = 1.25;
+constexpr double overloadedRatio = 1.6;
+constexpr double narrowingFactor = 0.7;
+constexpr std::size_t minSamplesToNarrow = 4;
 // Sidecars that start together must not overload the store: the initial samples have to show its full speed.
-constexpr double firstWindow = 1;
-constexpr std::size_t mostRemembered = 512; // adapters
+constexpr double initialWindow = 1;
+constexpr std::size_t maxTrackedAdapters = 512; // adapters
 constexpr double copiesWeight = 0.25; // weight of a load that contradicts the estimate
 
 } // namespace
 
 LoadTimes::LoadTimes()
-    : store_(usualSamples)
-    , recentStore_(recentSamples)
-    , copy_(copySamples)
-    , window_(firstWindow)
+    : storeSamples_(idleStoreSamples)
+    , recentStoreSamples_(recentSamples)
+    , copySamples_(copySamples)
+    , window_(initialWindow)
 {
 }
 
-void LoadTimes::began(const Name &name, std::uint32_t version, TimePoint now)
+void LoadTimes::onLoadStarted(const Name &name, std::uint32_t version, TimePoint now)
 {
     Load load;
-    load.since = now;
+    load.startedAt = now;
     const auto known = held_.find(name);
     // A newer version has no copy in the engine.
-    load.heldBefore = known != held_.end() && (version == 0 || version == known->second.version);
-    if (load.heldBefore) {
-        load.heldAgo = static_cast<std::size_t>(std::distance(order_.begin(), known->second.place));
+    load.wasHeld = known != held_.end() && (version == 0 || version == known->second.version);
+    if (load.wasHeld) {
+        load.recencyRank = static_cast<std::size_t>(std::distance(byRecency_.begin(), known->second.position));
     }
-    underWay_[name] = load;
+    pending_[name] = load;
 }
 
-void LoadTimes::ended(const Name &name, std::uint32_t version, TimePoint now)
+void LoadTimes::onLoaded(const Name &name, std::uint32_t version, TimePoint now)
 {
-    const auto found = underWay_.find(name);
-    if (found == underWay_.end()) {
+    const auto found = pending_.find(name);
+    if (found == pending_.end()) {
         return;
     }
     const auto load = found->second;
-    underWay_.erase(found);
-    const double ms = milliseconds(now - load.since);
+    pending_.erase(found);
+    const double ms = milliseconds(now - load.startedAt);
     const auto known = held_.find(name);
     const bool sameVersion = known != held_.end() && known->second.version == version;
-    const bool again = load.heldBefore && sameVersion;
-    const bool comparable = store_.count() != 0;
-    const bool fast = comparable && ms < copyShare * usualMs();
-    if (again && (fast || !comparable)) {
-        copy_.add(ms);
+    const bool wasHeldBefore = load.wasHeld && sameVersion;
+    const bool hasBaseline = storeSamples_.count() != 0;
+    const bool isFast = hasBaseline && ms < maxCopyShare * idleStoreMs();
+    if (wasHeldBefore && (isFast || !hasBaseline)) {
+        copySamples_.add(ms);
     }
-    if (again && comparable) {
-        learnCopies(load, fast);
+    if (wasHeldBefore && hasBaseline) {
+        updateCopyCount(load, isFast);
     }
-    if (!fast) {
-        noteStoreLoad(ms, now);
+    if (!isFast) {
+        recordStoreLoad(ms, now);
     }
 }
 
-void LoadTimes::learnCopies(const Load &load, bool fast)
+void LoadTimes::updateCopyCount(const Load &load, bool isFast)
 {
-    const auto seen = static_cast<double>(load.heldAgo + 1);
-    if (fast) {
-        copies_ = copies_ == 0 ? 0 : std::max(copies_, seen);
+    const auto seen = static_cast<double>(load.recencyRank + 1);
+    if (isFast) {
+        copyCount_ = copyCount_ == 0 ? 0 : std::max(copyCount_, seen);
         return;
     }
-    if (copies_ == 0) {
-        copies_ = seen;
+    if (copyCount_ == 0) {
+        copyCount_ = seen;
         return;
     }
-    copies_ -= seen < copies_ ? copiesWeight * (copies_ - seen) : 0;
+    copyCount_ -= seen < copyCount_ ? copiesWeight * (copyCount_ - seen) : 0;
 }
 
-void LoadTimes::noteStoreLoad(double ms, TimePoint now)
+void LoadTimes::recordStoreLoad(double ms, TimePoint now)
 {
-    store_.add(ms);
-    recentStore_.add(ms);
-    if (ms <= fullSpeed * usualMs()) {
+    storeSamples_.add(ms);
+    recentStoreSamples_.add(ms);
+    if (ms <= uncongestedRatio * idleStoreMs()) {
         // Grows fast until the store was overloaded once, then slowly.
-        window_ = std::min<double>(engineLoadsAtOnce, window_ + (narrowedAt_ == TimePoint{} ? 1 : 1 / window_));
+        window_ = std::min<double>(maxEngineLoads, window_ + (narrowedAt_ == TimePoint{} ? 1 : 1 / window_));
     }
     narrowIfSlow(ms, now);
 }
 
 void LoadTimes::narrowIfSlow(double ms, TimePoint now)
 {
-    const bool slow = store_.count() >= leastToNarrow && ms > overloaded * usualMs();
+    const bool slow = storeSamples_.count() >= minSamplesToNarrow && ms > overloadedRatio * idleStoreMs();
     // Concurrent loads show the same overload only once.
     if (slow && milliseconds(now - narrowedAt_) > ms) {
-        window_ = std::max(1.0, window_ * narrowing);
+        window_ = std::max(1.0, window_ * narrowingFactor);
         narrowedAt_ = now;
     }
 }
 
 void LoadTimes::checkOverdue(TimePoint now)
 {
-    for (const auto &[name, load] : underWay_) {
-        narrowIfSlow(milliseconds(now - load.since), now);
+    for (const auto &[name, load] : pending_) {
+        narrowIfSlow(milliseconds(now - load.startedAt), now);
     }
 }
 
-void LoadTimes::seenHeld(const std::vector<HeldAdapter> &held)
+void LoadTimes::recordHeld(const std::vector<HeldAdapter> &held)
 {
     for (const auto &adapter : held) {
-        touch({adapter.model, adapter.adapter}, adapter.version);
+        markHeld({adapter.model, adapter.adapter}, adapter.version);
     }
 }
 
-void LoadTimes::touch(const Name &name, std::uint32_t version)
+void LoadTimes::markHeld(const Name &name, std::uint32_t version)
 {
     const auto known = held_.find(name);
     if (known != held_.end()) {
         known->second.version = version;
-        order_.splice(order_.begin(), order_, known->second.place);
+        byRecency_.splice(byRecency_.begin(), byRecency_, known->second.position);
         return;
     }
-    order_.push_front(name);
-    held_[name] = Held{order_.begin(), version};
-    if (order_.size() > mostRemembered) {
-        held_.erase(order_.back());
-        order_.pop_back();
+    byRecency_.push_front(name);
+    held_[name] = Held{byRecency_.begin(), version};
+    if (byRecency_.size() > maxTrackedAdapters) {
+        held_.erase(byRecency_.back());
+        byRecency_.pop_back();
     }
 }
 
-void LoadTimes::modelBegan(TimePoint now)
+void LoadTimes::onModelLoadStarted(TimePoint now)
 {
-    modelSince_ = now;
+    modelStartedAt_ = now;
 }
 
-void LoadTimes::modelEnded(TimePoint now)
+void LoadTimes::onModelLoaded(TimePoint now)
 {
-    if (const auto since = std::exchange(modelSince_, std::nullopt)) {
-        modelMs_ = milliseconds(now - *since);
+    if (const auto startedAt = std::exchange(modelStartedAt_, std::nullopt)) {
+        modelMs_ = milliseconds(now - *startedAt);
     }
 }
 
-void LoadTimes::engineRestarted()
+void LoadTimes::onEngineRestarted()
 {
-    underWay_.clear();
-    order_.clear();
+    pending_.clear();
+    byRecency_.clear();
     held_.clear();
-    modelSince_.reset();
+    modelStartedAt_.reset();
 }
 
-double LoadTimes::usualMs() const
+double LoadTimes::idleStoreMs() const
 {
-    return store_.quantile(idleQuantile);
+    return storeSamples_.quantile(idleQuantile);
 }
 
-double LoadTimes::recentMs() const
+double LoadTimes::recentStoreMs() const
 {
-    return recentStore_.quantile(0.5);
+    return recentStoreSamples_.quantile(0.5);
 }
 
 double LoadTimes::copyMs() const
 {
-    return copy_.quantile(0.5);
+    return copySamples_.quantile(0.5);
 }
 
 double LoadTimes::modelMs() const
@@ -177,9 +177,9 @@
     return modelMs_;
 }
 
-std::size_t LoadTimes::copies() const
+std::size_t LoadTimes::copyCount() const
 {
-    return static_cast<std::size_t>(copies_);
+    return static_cast<std::size_t>(copyCount_);
 }
 
 std::size_t LoadTimes::window() const
--- a/src/direct/request_quarantine.cpp
+++ b/src/direct/request_quarantine.cpp
@@ -5,37 +5,37 @@
 
 namespace anvilscale {
 
-void RequestQuarantine::brokenOff(CallFingerprint request, const std::string &endpointId, std::uint64_t born,
-                                  TimePoint now)
+void RequestQuarantine::onCallBroken(CallFingerprint request, const std::string &endpointId, std::uint64_t startTimeMs,
+                                     TimePoint now)
 {
     if (wasAnswered(request)) {
         return;
     }
-    unreported_[{endpointId, born}].push_back(request);
-    suspect(request, processHash(endpointId, born), now);
+    unreported_[{endpointId, startTimeMs}].push_back(request);
+    addSuspect(request, hashProcess(endpointId, startTimeMs), now);
 }
 
-void RequestQuarantine::answered(CallFingerprint request)
+void RequestQuarantine::onAnswered(CallFingerprint request)
 {
-    answered_.at(request.value % answeredSlots) = request;
+    recentlyAnswered_.at(request.value % answeredSlots) = request;
     suspects_.erase(request);
 }
 
-void RequestQuarantine::apply(const CrashReport &report, TimePoint now)
+void RequestQuarantine::applyReport(const CrashReport &report, TimePoint now)
 {
-    const auto process = processHash(report.endpointId, report.born);
+    const auto process = hashProcess(report.endpointId, report.born);
     for (const auto request : report.suspects) {
         if (!wasAnswered(request)) {
-            suspect(request, process, now);
+            addSuspect(request, process, now);
         }
     }
 }
 
-bool RequestQuarantine::holds(CallFingerprint request, TimePoint now) const
+bool RequestQuarantine::isQuarantined(CallFingerprint request, TimePoint now) const
 {
     const auto found = suspects_.find(request);
-    return found != suspects_.end() && found->second.crashes.size() >= crashesToHold
-           && now - found->second.last < crashReportLife;
+    return found != suspects_.end() && found->second.crashes.size() >= minCrashes
+           && now - found->second.lastCrashAt < crashReportLife;
 }
 
 std::vector<CrashReport> RequestQuarantine::takeReports()
@@ -48,48 +48,48 @@
     return reports;
 }
 
-std::vector<CallFingerprint> RequestQuarantine::takeNewlyHeld()
+std::vector<CallFingerprint> RequestQuarantine::takeNewlyQuarantined()
 {
-    return std::exchange(newlyHeld_, {});
+    return std::exchange(newlyQuarantined_, {});
 }
 
-std::uint64_t RequestQuarantine::processHash(const std::string &endpointId, std::uint64_t born)
+std::uint64_t RequestQuarantine::hashProcess(const std::string &endpointId, std::uint64_t startTimeMs)
 {
-    return hash64(endpointId, born);
+    return hash64(endpointId, startTimeMs);
 }
 
 bool RequestQuarantine::wasAnswered(CallFingerprint request) const
 {
-    return answered_.at(request.value % answeredSlots) == request;
+    return recentlyAnswered_.at(request.value % answeredSlots) == request;
 }
 
-void RequestQuarantine::suspect(CallFingerprint request, std::uint64_t process, TimePoint now)
+void RequestQuarantine::addSuspect(CallFingerprint request, std::uint64_t process, TimePoint now)
 {
-    if (suspects_.size() >= mostSuspects && suspects_.count(request) == 0) {
-        makeRoom();
+    if (suspects_.size() >= maxSuspects && suspects_.count(request) == 0) {
+        evictSuspects();
     }
     auto &entry = suspects_[request];
-    if (now - entry.last >= crashReportLife) {
+    if (now - entry.lastCrashAt >= crashReportLife) {
         entry.crashes.clear();
     }
     auto &crashes = entry.crashes;
     if (std::find(crashes.begin(), crashes.end(), process) != crashes.end()) {
         return;
     }
-    entry.last = now;
+    entry.lastCrashAt = now;
     crashes.push_back(process);
-    if (crashes.size() == crashesToHold) {
-        newlyHeld_.push_back(request);
+    if (crashes.size() == minCrashes) {
+        newlyQuarantined_.push_back(request);
     }
 }
 
 /// Evicts half of the suspects: those with the fewest crashes first, and of these the oldest.
-void RequestQuarantine::makeRoom()
+void RequestQuarantine::evictSuspects()
 {
     using Item = std::pair<std::pair<std::size_t, TimePoint>, CallFingerprint>;
     std::vector<Item> items;
     for (const auto &[request, entry] : suspects_) {
-        items.push_back({{std::min(entry.crashes.size(), crashesToHold), entry.last}, request});
+        items.push_back({{std::min(entry.crashes.size(), minCrashes), entry.lastCrashAt}, request});
     }
     const auto middle = items.begin() + static_cast<std::ptrdiff_t>(items.size() / 2);
     std::nth_element(items.begin(), middle, items.end());
--- a/src/direct/request_quarantine.h
+++ b/src/direct/request_quarantine.h
@@ -14,41 +14,41 @@
 {
 public:
     /// The endpoint broke off a call with this request: it may have crashed.
-    void brokenOff(CallFingerprint request, const std::string &endpointId, std::uint64_t born, TimePoint now);
+    void onCallBroken(CallFingerprint request, const std::string &endpointId, std::uint64_t startTimeMs, TimePoint now);
     /// An endpoint has answered the request successfully.
-    void answered(CallFingerprint request);
+    void onAnswered(CallFingerprint request);
     /// Applies the report of any entry, including this one.
-    void apply(const CrashReport &report, TimePoint now);
+    void applyReport(const CrashReport &report, TimePoint now);
     /// True if the request must not be sent to any endpoint.
-    bool holds(CallFingerprint request, TimePoint now) const;
+    bool isQuarantined(CallFingerprint request, TimePoint now) const;
     /// Crashes seen by this entry since the last call, one report per endpoint.
     std::vector<CrashReport> takeReports();
     /// Requests put under quarantine since the last call.
-    std::vector<CallFingerprint> takeNewlyHeld();
+    std::vector<CallFingerprint> takeNewlyQuarantined();
 
 private:
     // Repeats of an innocent request may be in progress at two crashes, but hardly at three.
-    static constexpr std::size_t crashesToHold = 3;
-    static constexpr std::size_t mostSuspects = 8192;
+    static constexpr std::size_t minCrashes = 3;
+    static constexpr std::size_t maxSuspects = 8192;
     static constexpr std::size_t answeredSlots = 1024;
 
     struct Suspect
     {
         std::vector<std::uint64_t> crashes; // hashes of the crashed processes, each once
-        TimePoint last;
+        TimePoint lastCrashAt;
     };
 
-    static std::uint64_t processHash(const std::string &endpointId, std::uint64_t born);
+    static std::uint64_t hashProcess(const std::string &endpointId, std::uint64_t startTimeMs);
     bool wasAnswered(CallFingerprint request) const;
-    void suspect(CallFingerprint request, std::uint64_t process, TimePoint now);
-    void makeRoom();
+    void addSuspect(CallFingerprint request, std::uint64_t process, TimePoint now);
+    void evictSuspects();
 
     std::map<CallFingerprint, Suspect> suspects_;
     // Recently answered requests, slotted by fingerprint. A frequent request is in progress at every crash and must
     // not come under quarantine. Fingerprint 0, of calls without one, counts as answered.
-    std::array<CallFingerprint, answeredSlots> answered_{};
+    std::array<CallFingerprint, answeredSlots> recentlyAnswered_{};
     std::map<std::pair<std::string, std::uint64_t>, std::vector<CallFingerprint>> unreported_; // by id and start time
-    std::vector<CallFingerprint> newlyHeld_;
+    std::vector<CallFingerprint> newlyQuarantined_;
 };
 
 } // namespace anvilscale
--- a/src/direct/retry_allowance.h
+++ b/src/direct/retry_allowance.h
@@ -11,26 +11,26 @@
 {
 public:
     // Used if no slack is configured: allows repeating a single failed call.
-    static constexpr double leastSaved = 3;
+    static constexpr double defaultMaxBalance = 3;
 
     /// Earns the share of one first attempt. `maxBalance` is this entry's part of the retries beyond the ratio.
-    void countFirst(double ratio, double mostSaved)
+    void onFirstAttempt(double ratio, double maxBalance)
     {
-        saved_ = std::min(mostSaved, saved_ + ratio);
+        balance_ = std::min(maxBalance, balance_ + ratio);
     }
     /// Takes one retry; returns false if none is left.
-    bool take()
+    bool tryTake()
     {
-        if (saved_ < 1) {
+        if (balance_ < 1) {
             return false;
         }
-        saved_ -= 1;
+        balance_ -= 1;
         return true;
     }
 
 private:
     // Starts low, so that many entries restarting together do not spend the slack twice.
-    double saved_ = 1; // invariant: at most maxBalance
+    double balance_ = 1; // invariant: at most maxBalance
 };
 
 } // namespace anvilscale
--- a/src/direct/state_news.cpp
+++ b/src/direct/state_news.cpp
@@ -5,14 +5,14 @@
 
 void StateNews::update(const wire::DirectState &state)
 {
-    auto steady = state;
-    steady.clear_sequence();
-    steady.clear_unread_tokens();
-    steady.clear_waiting_tokens();
-    steady.clear_room();
-    auto text = steady.SerializeAsString();
-    if (text != text_) {
-        text_ = std::move(text);
+    auto withoutLoad = state;
+    withoutLoad.clear_sequence();
+    withoutLoad.clear_unread_tokens();
+    withoutLoad.clear_waiting_tokens();
+    withoutLoad.clear_room();
+    auto serialized = withoutLoad.SerializeAsString();
+    if (serialized != serialized_) {
+        serialized_ = std::move(serialized);
         ++sequence_;
     }
     state_ = state;
@@ -22,8 +22,8 @@
 wire::Envelope StateNews::messageFor(PeerHandle entry)
 {
     wire::Envelope message;
-    auto &told = told_[entry];
-    if (told.takesHeartbeats && told.sequence == sequence_) {
+    auto &subscription = subscriptions_[entry];
+    if (subscription.supportsHeartbeats && subscription.sequence == sequence_) {
         auto &heartbeat = *message.mutable_direct_heartbeat();
         heartbeat.set_state_sequence(sequence_);
         heartbeat.set_unread_tokens(state_.unread_tokens());
@@ -31,21 +31,21 @@
         heartbeat.set_room(state_.room());
         return message;
     }
-    told.sequence = sequence_;
+    subscription.sequence = sequence_;
     *message.mutable_direct_state() = state_;
     return message;
 }
 
 void StateNews::entryHas(PeerHandle entry, std::uint64_t sequence)
 {
-    auto &told = told_[entry];
-    told.takesHeartbeats = told.takesHeartbeats || sequence != 0;
-    told.sequence = sequence;
+    auto &subscription = subscriptions_[entry];
+    subscription.supportsHeartbeats = subscription.supportsHeartbeats || sequence != 0;
+    subscription.sequence = sequence;
 }
 
 void StateNews::entryLost(PeerHandle entry)
 {
-    told_.erase(entry);
+    subscriptions_.erase(entry);
 }
 
 } // namespace anvilscale
--- a/src/direct/store_sharer.cpp
+++ b/src/direct/store_sharer.cpp
@@ -6,21 +6,21 @@
 namespace {
 
 // Fewer entries watch the store themselves, where sharing saves little.
-constexpr std::uint32_t leastEntries = 8;
+constexpr std::uint32_t minEntries = 8;
 // Longer than a usual store outage for a single VM.
-constexpr Duration avoidance = Seconds(10);
+constexpr Duration avoidanceTime = Seconds(10);
 
 } // namespace
 
 std::string DirectCalls::storeSharer(TimePoint now) const
 {
     const EndpointEntry *best = nullptr;
-    for (const auto &[id, entry] : impl_->endpoints.all()) {
-        const bool shares = entry.stateFresh(now) && !entry.sidecarSilent(impl_->endpoints.lastHeard())
-                            && entry.state->shares_store() && entry.state->entries() >= leastEntries;
-        const auto failed = impl_->failedSharers.find(entry.record.address);
-        const bool avoided = failed != impl_->failedSharers.end() && now < failed->second;
-        if (!shares || avoided || entry.superseded || entry.leaves(now)) {
+    for (const auto &[id, entry] : impl_->endpoints.entries()) {
+        const bool shares = entry.hasFreshState(now) && !entry.isSidecarSilent(impl_->endpoints.lastReceivedAt())
+                            && entry.state->shares_store() && entry.state->entries() >= minEntries;
+        const auto failed = impl_->avoidedWatchAddresses.find(entry.record.address);
+        const bool avoided = failed != impl_->avoidedWatchAddresses.end() && now < failed->second;
+        if (!shares || avoided || entry.isSuperseded || entry.isLeaving(now)) {
             continue;
         }
         if (best == nullptr || hash64(entry.record.address) < hash64(best->record.address)) {
@@ -32,8 +32,8 @@
 
 void DirectCalls::storeSharerFailed(const std::string &address, TimePoint now)
 {
-    std::erase_if(impl_->failedSharers, [now](const auto &item) { return item.second <= now; });
-    impl_->failedSharers[address] = now + avoidance;
+    std::erase_if(impl_->avoidedWatchAddresses, [now](const auto &item) { return item.second <= now; });
+    impl_->avoidedWatchAddresses[address] = now + avoidanceTime;
 }
 
 } // namespace anvilscale
--- a/src/direct/wait_forecast.cpp
+++ b/src/direct/wait_forecast.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 // Until a sidecar has measured a load.
-constexpr double guessedLoadMs = 300;
+constexpr double defaultLoadMs = 300;
 // Model load, unless declared by the operator or measured by a sidecar.
-constexpr double guessedModelLoadMs = 3000;
+constexpr double defaultModelLoadMs = 3000;
 // Declared by the platform: load time of a recently held adapter relative to one from the weight store.
-constexpr double copyShare = 0.1;
+constexpr double copyTimeShare = 0.1;
 // Without a sidecar the engine gets no orders, so that the adapter is not loaded.
-constexpr double noSidecarMs = 20'000;
+constexpr double missingSidecarMs = 20'000;
 
 } // namespace
 
@@ -22,140 +22,140 @@
     : entry_(entry)
     , query_(query)
     , now_(now)
-    , name_(query.facts->model, query.facts->adapter)
+    , name_(query.info->model, query.info->adapter)
 {
 }
 
-bool WaitForecast::fresh() const
+bool WaitForecast::hasFreshState() const
 {
-    return entry_.stateFresh(now_);
+    return entry_.hasFreshState(now_);
 }
 
-const ServiceEstimates &WaitForecast::learned() const
+const ServiceEstimates &WaitForecast::estimates() const
 {
-    return *query_.learned;
+    return *query_.estimates;
 }
 
 double WaitForecast::readingMs(double work) const
 {
-    return work * learned().reading.msPerToken();
+    return work * estimates().reading.msPerToken();
 }
 
 double WaitForecast::backlogMs() const
 {
     double tokens = entry_.unreadTokens;
-    if (fresh() && query_.policy->has(Mechanism::OthersWork)) {
-        tokens += std::max(0.0, static_cast<double>(entry_.state->unread_tokens()) - entry_.toldUnread);
+    if (hasFreshState() && query_.policy->has(Mechanism::OthersWork)) {
+        tokens += std::max(0.0, static_cast<double>(entry_.state->unread_tokens()) - entry_.lastSentUnreadTokens);
     }
     return readingMs(tokens);
 }
 
 // Prevents calls from being sent to an engine whose work is only about to arrive.
-double WaitForecast::plannedMs() const
+double WaitForecast::plannedReadingMs() const
 {
     if (!query_.policy->has(Mechanism::PlannedWork)) {
         return 0;
     }
     double tokens = entry_.waitingTokens;
-    if (fresh()) {
-        tokens += std::max(0.0, static_cast<double>(entry_.state->waiting_tokens()) - entry_.toldWaiting);
+    if (hasFreshState()) {
+        tokens += std::max(0.0, static_cast<double>(entry_.state->waiting_tokens()) - entry_.lastSentWaitingTokens);
     }
     return readingMs(tokens);
 }
 
 double WaitForecast::loadMs() const
 {
-    if (fresh() && entry_.state->load_ms() != 0) {
+    if (hasFreshState() && entry_.state->load_ms() != 0) {
         return entry_.state->load_ms();
     }
-    return learned().loadMs > 0 ? learned().loadMs : guessedLoadMs;
+    return estimates().loadMs > 0 ? estimates().loadMs : defaultLoadMs;
 }
 
-bool WaitForecast::hasCopy() const
+bool WaitForecast::hasLocalCopy() const
 {
-    return query_.policy->has(Mechanism::Copies) && entry_.loadsFast(name_);
+    return query_.policy->has(Mechanism::Copies) && entry_.hasLocalCopy(name_);
 }
 
-double WaitForecast::copyMs() const
+double WaitForecast::copyLoadMs() const
 {
-    const bool told = fresh() && entry_.state->copy_ms() != 0;
-    return told ? entry_.state->copy_ms() : copyShare * loadMs();
+    const bool reported = hasFreshState() && entry_.state->copy_ms() != 0;
+    return reported ? entry_.state->copy_ms() : copyTimeShare * loadMs();
 }
 
 // Adapters for calls that can meet their objective are loaded first, so that only those count for such a call.
-std::uint32_t WaitForecast::ahead() const
+std::uint32_t WaitForecast::loadsAhead() const
 {
-    const bool first = query_.inTime && query_.policy->has(Mechanism::InTimeFirst);
+    const bool first = query_.canMeetObjective && query_.policy->has(Mechanism::InTimeFirst);
     return first ? entry_.state->loads_in_time() : entry_.state->loads_ahead();
 }
 
-double WaitForecast::aheadMs(double loadTime) const
+double WaitForecast::loadsAheadMs(double loadTime) const
 {
-    const auto told = entry_.state->loads_at_once();
-    return loadTime * ahead() / (told != 0 ? told : engineLoadsAtOnce);
+    const auto reported = entry_.state->loads_at_once();
+    return loadTime * loadsAhead() / (reported != 0 ? reported : maxEngineLoads);
 }
 
-double WaitForecast::adapterMs() const
+double WaitForecast::adapterLoadMs() const
 {
-    return (hasCopy() ? copyMs() : loadMs()) + aheadMs(loadMs());
+    return (hasLocalCopy() ? copyLoadMs() : loadMs()) + loadsAheadMs(loadMs());
 }
 
 // Not part of the choice between engines: all of them load from the same store.
 double WaitForecast::storeDelayMs(Presence presence) const
 {
-    const bool counts = presence == Presence::Absent && !name_.second.empty() && fresh();
+    const bool counts = presence == Presence::Absent && !name_.second.empty() && hasFreshState();
     if (!counts || !query_.policy->has(Mechanism::StoreForecast)) {
         return 0;
     }
     const double recent = recentLoadMs();
-    return std::max(0.0, recent + aheadMs(recent) - adapterMs());
+    return std::max(0.0, recent + loadsAheadMs(recent) - adapterLoadMs());
 }
 
 // A restarted engine is empty and its model is ordered at once: only the remaining load time counts. Prevents
 // refusals of calls that could be served shortly.
-double WaitForecast::modelMs() const
+double WaitForecast::modelLoadMs() const
 {
     if (entry_.hasModel(name_.first, now_)) {
         return 0;
     }
     double whole = milliseconds(query_.modelReload);
-    if (fresh() && entry_.state->model_ms() != 0) {
+    if (hasFreshState() && entry_.state->model_ms() != 0) {
         whole = entry_.state->model_ms();
     }
     if (whole <= 0) {
-        return guessedModelLoadMs;
+        return defaultModelLoadMs;
     }
     const double passed = entry_.emptySince ? milliseconds(now_ - *entry_.emptySince) : 0;
     return std::max(whole - passed, whole / 4);
 }
 
-double WaitForecast::runMs() const
+double WaitForecast::meanRunMs() const
 {
-    return query_.policy->has(Mechanism::LearnedRuns) ? learned().runMs.mean() : 0;
+    return query_.policy->has(Mechanism::LearnedRuns) ? estimates().runMs.mean() : 0;
 }
 
 // Time until a slot is free for one more adapter, after those already awaited. When all slots have running calls,
 // callers wait for a slot and not for the load.
-double WaitForecast::slotMs() const
+double WaitForecast::slotWaitMs() const
 {
     if (!query_.policy->has(Mechanism::SlotQueue)) {
         return 0;
     }
-    const bool awaited = entry_.awaits(name_, now_);
-    const auto wanted = ahead() + (awaited ? 0 : 1);
-    const auto missing = wanted > entry_.state->room() ? wanted - entry_.state->room() : 0;
-    return missing * runMs() / std::max<std::uint32_t>(1, entry_.state->slots());
+    const bool awaited = entry_.isAwaiting(name_, now_);
+    const auto demanded = loadsAhead() + (awaited ? 0 : 1);
+    const auto missing = demanded > entry_.state->room() ? demanded - entry_.state->room() : 0;
+    return missing * meanRunMs() / std::max<std::uint32_t>(1, entry_.state->slots());
 }
 
-double WaitForecast::presenceMs(Presence presence) const
+double WaitForecast::untilResidentMs(Presence presence) const
 {
     if (presence == Presence::Resident) {
         return 0;
     }
-    if (!fresh()) {
-        return entry_.stateExpected(now_) ? loadMs() : noSidecarMs;
+    if (!hasFreshState()) {
+        return entry_.isStateExpected(now_) ? loadMs() : missingSidecarMs;
     }
-    double ms = modelMs();
+    double ms = modelLoadMs();
     if (name_.second.empty()) {
         return ms;
     }
@@ -163,12 +163,12 @@
         return ms + loadMs() / 2; // half of it is left on average
     }
     // An older version with running calls is replaced only after they end.
-    return ms + adapterMs() + slotMs() + (entry_.heldByRuns(name_, now_) ? runMs() : 0);
+    return ms + adapterLoadMs() + slotWaitMs() + (entry_.isReplacementBlocked(name_, now_) ? meanRunMs() : 0);
 }
 
-bool WaitForecast::loadsMeasured() const
+bool WaitForecast::hasMeasuredLoads() const
 {
-    return learned().loadMs > 0;
+    return estimates().loadMs > 0;
 }
 
 double WaitForecast::recentLoadMs() const
@@ -176,25 +176,25 @@
     return entry_.state->recent_load_ms();
 }
 
-double WaitForecast::certainPresenceMs(Presence presence) const
+double WaitForecast::confirmedUntilResidentMs(Presence presence) const
 {
-    if (presence == Presence::Resident || !fresh()) {
+    if (presence == Presence::Resident || !hasFreshState()) {
         return 0;
     }
     const bool declared = query_.modelReload > Duration(0) || entry_.state->model_ms() != 0;
-    if (!loadsMeasured()) {
-        return declared ? modelMs() : 0;
+    if (!hasMeasuredLoads()) {
+        return declared ? modelLoadMs() : 0;
     }
-    return presenceMs(presence) + storeDelayMs(presence);
+    return untilResidentMs(presence) + storeDelayMs(presence);
 }
 
-double WaitForecast::certainRestMs(Presence presence) const
+double WaitForecast::confirmedRemainingMs(Presence presence) const
 {
-    if (presence != Presence::Absent || !fresh() || !loadsMeasured()) {
+    if (presence != Presence::Absent || !hasFreshState() || !hasMeasuredLoads()) {
         return 0;
     }
     const double load = std::max(loadMs(), recentLoadMs());
-    return modelMs() + (name_.second.empty() ? 0 : aheadMs(load) / 2);
+    return modelLoadMs() + (name_.second.empty() ? 0 : loadsAheadMs(load) / 2);
 }
 
 } // namespace anvilscale
--- a/src/direct/wait_forecast.h
+++ b/src/direct/wait_forecast.h
@@ -15,35 +15,35 @@
     double backlogMs() const;
     /// Time for reading prompts of calls that wait for an adapter there; they are read before one that starts to wait
     /// now.
-    double plannedMs() const;
+    double plannedReadingMs() const;
     /// Time for reading `work` tokens.
     double readingMs(double work) const;
     /// Time until the call's adapter is resident, while the weight store is not overloaded.
-    double presenceMs(Presence presence) const;
+    double untilResidentMs(Presence presence) const;
     /// Additional time until the adapter is resident at recent load times.
     double storeDelayMs(Presence presence) const;
     /// True if the engine probably has a copy of the call's adapter.
-    bool hasCopy() const;
+    bool hasLocalCopy() const;
     /// One load from an idle weight store.
     double loadMs() const;
     /// Part of the wait for the adapter that rests on measured or declared times; defaults count as 0.
-    double certainPresenceMs(Presence presence) const;
+    double confirmedUntilResidentMs(Presence presence) const;
     /// The same for a call already waiting there: on average half of the other loads precede its own.
-    double certainRestMs(Presence presence) const;
+    double confirmedRemainingMs(Presence presence) const;
 
 private:
-    double modelMs() const;
-    double copyMs() const;
-    double adapterMs() const;
-    bool loadsMeasured() const;
+    double modelLoadMs() const;
+    double copyLoadMs() const;
+    double adapterLoadMs() const;
+    bool hasMeasuredLoads() const;
     double recentLoadMs() const;
-    double slotMs() const;
+    double slotWaitMs() const;
     /// Number of adapters that are loaded before this call's.
-    std::uint32_t ahead() const;
-    double aheadMs(double loadTime) const;
-    double runMs() const;
-    bool fresh() const;
-    const ServiceEstimates &learned() const;
+    std::uint32_t loadsAhead() const;
+    double loadsAheadMs(double loadTime) const;
+    double meanRunMs() const;
+    bool hasFreshState() const;
+    const ServiceEstimates &estimates() const;
 
     const EndpointEntry &entry_;
     const ChoiceQuery &query_;
