--- a/tests/unit/direct_calls_test.cpp
+++ b/tests/unit/direct_calls_test.cpp
@@ -5,10 +5,10 @@
 
 TEST(RouteTable, LongestPrefixOfTheHostWins)
 {
-    auto inner = routeTo("/a/b/", "inner", RepeatRule::Idempotent);
-    auto elsewhere = routeTo("/a/b/c/", "elsewhere", RepeatRule::Idempotent);
+    auto inner = makeRoute("/a/b/", "inner", RepeatRule::Idempotent);
+    auto elsewhere = makeRoute("/a/b/c/", "elsewhere", RepeatRule::Idempotent);
     elsewhere.host = "other.example";
-    const RouteTable table({routeTo("/a/", "outer", RepeatRule::Idempotent), inner, elsewhere});
+    const RouteTable table({makeRoute("/a/", "outer", RepeatRule::Idempotent), inner, elsewhere});
     EXPECT_EQ(table.find(host, "/a/b/c/d")->services.front().service, "inner");
     EXPECT_EQ(table.find(host, "/a/bc")->services.front().service, "outer");
     EXPECT_EQ(table.find(host, "/b/"), nullptr);
@@ -17,43 +17,43 @@
 
 TEST(CallFingerprint, IsTheSameForEachAttemptAtOneRequest)
 {
-    CallFacts facts;
-    facts.requestId = "r1";
-    facts.host = host;
-    facts.model = modelName;
-    facts.adapter = "a1";
-    const auto first = fingerprintOf("POST", "/s/x", "body", facts);
-    facts.requestId = "r2";
-    facts.patience = Seconds(3);
-    EXPECT_EQ(fingerprintOf("POST", "/s/x", "body", facts), first);
-    EXPECT_NE(fingerprintOf("POST", "/s/x", "other body", facts), first);
-    EXPECT_NE(fingerprintOf("POST", "/s/y", "body", facts), first);
-    EXPECT_NE(fingerprintOf("POST", "/s/", "xbody", facts), first);
-    facts.adapter = "a2";
-    EXPECT_NE(fingerprintOf("POST", "/s/x", "body", facts), first);
+    CallFacts info;
+    info.requestId = "r1";
+    info.host = host;
+    info.model = modelName;
+    info.adapter = "a1";
+    const auto first = fingerprintOf("POST", "/s/x", "body", info);
+    info.requestId = "r2";
+    info.patience = Seconds(3);
+    EXPECT_EQ(fingerprintOf("POST", "/s/x", "body", info), first);
+    EXPECT_NE(fingerprintOf("POST", "/s/x", "other body", info), first);
+    EXPECT_NE(fingerprintOf("POST", "/s/y", "body", info), first);
+    EXPECT_NE(fingerprintOf("POST", "/s/", "xbody", info), first);
+    info.adapter = "a2";
+    EXPECT_NE(fingerprintOf("POST", "/s/x", "body", info), first);
     EXPECT_EQ(CallFingerprint{0xabc}.text(), "0000000000000abc");
 }
 
 TEST_F(Calls, AnOlderConfigurationNeverComesBack)
 {
-    auto newer = configOf(5);
+    auto newer = makeConfig(5);
     newer.routes.pop_back();
     EXPECT_TRUE(calls_.applyConfig(newer, now_));
-    EXPECT_FALSE(calls_.applyConfig(configOf(4), now_));
-    addPlain();
-    arrive("/n/x");
-    const auto refused = take<RefuseCall>();
+    EXPECT_FALSE(calls_.applyConfig(makeConfig(4), now_));
+    addPlainEndpoints();
+    startCall("/n/x");
+    const auto refused = takeActions<RefuseCall>();
     ASSERT_EQ(refused.size(), 1U);
     EXPECT_EQ(refused[0].status, 404U);
 }
 
-TEST_F(Calls, WithoutAConfigurationNothingIsSaidOfRoutes)
+TEST_F(Calls, RefusesCallsWithoutConfiguration)
 {
     DirectCalls fresh{init()};
-    CallFacts facts;
-    facts.host = host;
-    facts.path = "/i/x";
-    fresh.arrive(CallHandle{1}, facts, now_);
+    CallFacts info;
+    info.host = host;
+    info.path = "/i/x";
+    fresh.arrive(CallHandle{1}, info, now_);
     const auto actions = fresh.takeActions();
     ASSERT_EQ(actions.size(), 1U);
     EXPECT_EQ(std::get<RefuseCall>(actions[0]).status, 503U);
@@ -63,54 +63,54 @@
 TEST_F(Calls, WaitsForItsAdapterAndIsSentOnceItIsThere)
 {
     addEngine("e-1", "10.0.1.1:80", {});
-    arrive("/s/x", "a1");
-    const auto wishes = take<SendWishes>();
-    ASSERT_EQ(wishes.size(), 1U);
-    ASSERT_EQ(wishes[0].demand.wishes_size(), 1);
-    EXPECT_EQ(wishes[0].demand.wishes(0).adapter(), "a1");
-    EXPECT_EQ(wishes[0].demand.plan().adapter_slots(), 2U);
+    startCall("/s/x", "a1");
+    const auto demands = takeActions<SendWishes>();
+    ASSERT_EQ(demands.size(), 1U);
+    ASSERT_EQ(demands[0].demand.wishes_size(), 1);
+    EXPECT_EQ(demands[0].demand.wishes(0).adapter(), "a1");
+    EXPECT_EQ(demands[0].demand.plan().adapter_slots(), 2U);
     now_ += Milliseconds(300);
-    calls_.applyState("10.0.1.1:80", stateWith({"a1"}), now_);
-    EXPECT_EQ(sent().endpointId, "e-1");
+    calls_.applyState("10.0.1.1:80", makeState({"a1"}), now_);
+    EXPECT_EQ(takeSentCall().endpointId, "e-1");
 }
 
 // Guards against the eviction of an adapter on which a call was just sent: the sidecar would unload it and the engine
 // would take no other order until the call has ended.
-TEST_F(Calls, TheFirstCallOnAnAdapterIsToldAtOnce)
+TEST_F(Calls, FirstCallOnAnAdapterIsReportedAtOnce)
 {
     addEngine("e-1", "10.0.1.1:80", {"a1"});
-    pass(directTick);
-    take<SendWishes>();
-    arrive("/s/x", "a1");
-    const auto wishes = take<SendWishes>();
-    ASSERT_EQ(wishes.size(), 1U);
-    ASSERT_EQ(wishes[0].demand.wishes_size(), 1);
-    EXPECT_EQ(wishes[0].demand.wishes(0).running(), 1U);
+    advance(directTick);
+    takeActions<SendWishes>();
+    startCall("/s/x", "a1");
+    const auto demands = takeActions<SendWishes>();
+    ASSERT_EQ(demands.size(), 1U);
+    ASSERT_EQ(demands[0].demand.wishes_size(), 1);
+    EXPECT_EQ(demands[0].demand.wishes(0).running(), 1U);
 }
 
 // Guards against calls at a leaving engine, including those that already wait there for an adapter.
 TEST_F(Calls, WaitingCallsLeaveAnEndpointThatLeaves)
 {
     addEngine("e-1", "10.0.1.1:80", {});
-    arrive("/s/x", "a1");
+    startCall("/s/x", "a1");
     addEngine("e-2", "10.0.1.2:80", {"a1"});
-    auto leaving = endpointOf("e-1", engineService, "10.0.1.1:80");
+    auto leaving = makeEndpoint("e-1", engineService, "10.0.1.1:80");
     leaving.leaving = true;
     calls_.applyEndpoint(leaving, now_);
-    EXPECT_EQ(sent().endpointId, "e-2");
-    calls_.applyState("10.0.1.1:80", stateWith({"a1"}), now_);
-    arrive("/s/y", "a1");
-    EXPECT_EQ(sent().endpointId, "e-2");
+    EXPECT_EQ(takeSentCall().endpointId, "e-2");
+    calls_.applyState("10.0.1.1:80", makeState({"a1"}), now_);
+    startCall("/s/y", "a1");
+    EXPECT_EQ(takeSentCall().endpointId, "e-2");
 }
 
 TEST_F(Calls, ANamedVersionIsAskedForAndAnOlderOneDoesNotCount)
 {
     addEngine("e-1", "10.0.1.1:80", {"a1"});
     calls_.applyVersion({modelName, "a1", 2}, now_);
-    arrive("/s/x", "a1");
-    EXPECT_TRUE(take<SendCall>().empty()) << "the engine holds the first version only";
-    calls_.applyState("10.0.1.1:80", stateWith({"a1"}, 2), now_);
-    EXPECT_EQ(sent().version, 2U);
+    startCall("/s/x", "a1");
+    EXPECT_TRUE(takeActions<SendCall>().empty()) << "the engine holds the first version only";
+    calls_.applyState("10.0.1.1:80", makeState({"a1"}, 2), now_);
+    EXPECT_EQ(takeSentCall().version, 2U);
 }
 
 // Guards against two entries sending long prompts to one engine while another engine with the adapter is free.
@@ -118,14 +118,14 @@
 {
     addEngine("e-1", "10.0.1.1:80", {"a1"});
     addEngine("e-2", "10.0.1.2:80", {"a1"});
-    arrive("/s/x", "a1");
-    const auto usual = sent();
-    end(usual, AttemptEnd::Answered);
-    auto busy = stateWith({"a1"});
+    startCall("/s/x", "a1");
+    const auto usual = takeSentCall();
+    endAttempt(usual, AttemptEnd::Answered);
+    auto busy = makeState({"a1"});
     busy.set_unread_tokens(40'000);
     calls_.applyState(usual.address, busy, now_);
-    arrive("/s/x", "a1");
-    EXPECT_NE(sent().endpointId, usual.endpointId);
+    startCall("/s/x", "a1");
+    EXPECT_NE(takeSentCall().endpointId, usual.endpointId);
 }
 
 // Guards against queueing at the engine that should cache the prompt's shared parts while an idle engine holds the
@@ -134,56 +134,56 @@
 {
     addEngine("e-1", "10.0.1.1:80", {"a1"});
     addEngine("e-2", "10.0.1.2:80", {"a1"});
-    arrive("/s/x", "a1");
-    const auto usual = sent();
+    startCall("/s/x", "a1");
+    const auto usual = takeSentCall();
     now_ += Milliseconds(1500);
     calls_.answerBegan(usual.call, usual.attempt, now_);
-    end(usual, AttemptEnd::Answered);
-    calls_.applyState("10.0.1.1:80", stateWith({"a1"}), now_);
-    calls_.applyState("10.0.1.2:80", stateWith({"a1"}), now_);
-    auto state = stateWith({"a1"});
+    endAttempt(usual, AttemptEnd::Answered);
+    calls_.applyState("10.0.1.1:80", makeState({"a1"}), now_);
+    calls_.applyState("10.0.1.2:80", makeState({"a1"}), now_);
+    auto state = makeState({"a1"});
     state.set_unread_tokens(1500);
     calls_.applyState(usual.address, state, now_);
-    arrive("/s/x", "a1");
-    EXPECT_NE(sent().endpointId, usual.endpointId);
+    startCall("/s/x", "a1");
+    EXPECT_NE(takeSentCall().endpointId, usual.endpointId);
 }
 
 // Guards against abandoning a resumable stream that can be restarted, and against restarting one of which the caller
 // has received a part.
 TEST_F(Calls, AResumableStreamIsBegunAnewWhileItsCallerHasNothingOfIt)
 {
-    auto config = configOf(2);
+    auto config = makeConfig(2);
     config.routes.front().resumable = true;
     calls_.applyConfig(config, now_);
     addEngine("e-1", "10.0.1.1:80", {"a1"});
     addEngine("e-2", "10.0.1.2:80", {"a1"});
-    arrive("/s/x", "a1");
-    const auto first = sent();
-    end(first, AttemptEnd::Broken);
-    const auto second = sent();
+    startCall("/s/x", "a1");
+    const auto first = takeSentCall();
+    endAttempt(first, AttemptEnd::Broken);
+    const auto second = takeSentCall();
     EXPECT_NE(second.endpointId, first.endpointId);
     AttemptResult cut;
     cut.end = AttemptEnd::Broken;
     cut.callerHasBytes = true;
     calls_.attemptEnded(second.call, second.attempt, cut, now_);
-    EXPECT_TRUE(take<SendCall>().empty());
+    EXPECT_TRUE(takeActions<SendCall>().empty());
 }
 
 // Guards against a retry budget that accumulates in quiet minutes and is spent in one burst of failures.
 TEST_F(Calls, ABurstOfFailuresSpendsNoMoreThanItsShareOfRetries)
 {
-    addPlain();
+    addPlainEndpoints();
     std::size_t sentAgain = 0;
     for (int i = 0; i < 400; ++i) {
-        arrive("/i/x");
-        const auto first = sent();
+        startCall("/i/x");
+        const auto first = takeSentCall();
         if (i < 300) {
-            end(first, AttemptEnd::Answered);
+            endAttempt(first, AttemptEnd::Answered);
         } else {
-            end(first, AttemptEnd::OwnFailure);
-            for (const auto &again : take<SendCall>()) {
+            endAttempt(first, AttemptEnd::OwnFailure);
+            for (const auto &again : takeActions<SendCall>()) {
                 ++sentAgain;
-                end(again, AttemptEnd::OwnFailure);
+                endAttempt(again, AttemptEnd::OwnFailure);
             }
         }
         now_ += Milliseconds(100);
@@ -194,78 +194,78 @@
 
 TEST_F(Calls, AnIdempotentCallIsSentAgainWhenItsAnswerBreaks)
 {
-    addPlain();
-    arrive("/i/x");
-    const auto first = sent();
-    end(first, AttemptEnd::Broken);
-    const auto second = sent();
+    addPlainEndpoints();
+    startCall("/i/x");
+    const auto first = takeSentCall();
+    endAttempt(first, AttemptEnd::Broken);
+    const auto second = takeSentCall();
     EXPECT_NE(second.endpointId, first.endpointId);
-    end(second, AttemptEnd::Broken);
-    EXPECT_TRUE(take<SendCall>().empty()) << "the route allows two endpoints";
+    endAttempt(second, AttemptEnd::Broken);
+    EXPECT_TRUE(takeActions<SendCall>().empty()) << "the route allows two endpoints";
 }
 
 // Guards against repeating a non-idempotent call that may have run, and against reporting it as "not run".
-TEST_F(Calls, ANonIdempotentCallThatMayHaveRunIsNeitherRepeatedNorDenied)
+TEST_F(Calls, NonIdempotentCallThatMayHaveRunIsAbandoned)
 {
-    addPlain();
-    arrive("/n/x");
-    end(sent(), AttemptEnd::Broken);
+    addPlainEndpoints();
+    startCall("/n/x");
+    endAttempt(takeSentCall(), AttemptEnd::Broken);
     const auto actions = calls_.takeActions();
     ASSERT_EQ(actions.size(), 1U);
     EXPECT_EQ(std::get<AbandonCall>(actions[0]).reason, FailureReason::EndpointCut);
 }
 
-TEST_F(Calls, WhatProvablyDidNotRunIsSentElsewhereWhateverItsKind)
+TEST_F(Calls, RefusedCallIsSentElsewhereUnderAnyRepeatRule)
 {
-    addPlain();
-    arrive("/n/x");
-    const auto first = sent();
-    end(first, AttemptEnd::Refused, EndpointRefusal::Full);
-    const auto second = sent();
+    addPlainEndpoints();
+    startCall("/n/x");
+    const auto first = takeSentCall();
+    endAttempt(first, AttemptEnd::Refused, EndpointRefusal::Full);
+    const auto second = takeSentCall();
     EXPECT_NE(second.endpointId, first.endpointId);
-    end(second, AttemptEnd::Refused, EndpointRefusal::Full);
-    const auto refused = take<RefuseCall>();
+    endAttempt(second, AttemptEnd::Refused, EndpointRefusal::Full);
+    const auto refused = takeActions<RefuseCall>();
     ASSERT_EQ(refused.size(), 1U);
     EXPECT_EQ(refused[0].status, 503U);
     EXPECT_GT(refused[0].retryAfter, Duration(0));
 }
 
 // Guards against reporting "not run" for a call that a first endpoint broke off and a second one refused.
-TEST_F(Calls, ARefusalAfterAnAttemptThatMayHaveRunIsNoProof)
+TEST_F(Calls, RefusalAfterABrokenAttemptAbandonsTheCall)
 {
-    addPlain();
-    arrive("/i/x");
-    end(sent(), AttemptEnd::Broken);
-    end(sent(), AttemptEnd::Refused, EndpointRefusal::Full);
+    addPlainEndpoints();
+    startCall("/i/x");
+    endAttempt(takeSentCall(), AttemptEnd::Broken);
+    endAttempt(takeSentCall(), AttemptEnd::Refused, EndpointRefusal::Full);
     const auto actions = calls_.takeActions();
     ASSERT_EQ(actions.size(), 1U);
     EXPECT_TRUE(std::holds_alternative<AbandonCall>(actions[0]));
 }
 
 // Guards against further refused calls to an address that belongs to another incarnation.
-TEST_F(Calls, AnAddressThatChangedHandsIsForgotten)
+TEST_F(Calls, RemovesEndpointWhoseAddressWasReused)
 {
-    addPlain();
-    arrive("/n/x");
-    const auto first = sent();
-    end(first, AttemptEnd::Refused, EndpointRefusal::OtherIncarnation);
-    EXPECT_NE(sent().endpointId, first.endpointId);
+    addPlainEndpoints();
+    startCall("/n/x");
+    const auto first = takeSentCall();
+    endAttempt(first, AttemptEnd::Refused, EndpointRefusal::OtherIncarnation);
+    EXPECT_NE(takeSentCall().endpointId, first.endpointId);
     for (const auto &id : calls_.endpointIds()) {
         EXPECT_NE(id, first.endpointId);
     }
 }
 
 // Guards against calls that keep waiting for an adapter at an address that belongs to another incarnation.
-TEST_F(Calls, CallsThatWaitWhereAnAddressChangedHandsArePlacedAnew)
+TEST_F(Calls, PlacesWaitingCallsAgainWhenAnAddressWasReused)
 {
     addEngine("e-1", "10.0.1.1:80", {"a1"});
-    arrive("/s/x", "a2");
+    startCall("/s/x", "a2");
     ASSERT_EQ(calls_.stats().waitedForAdapter, 1U);
-    arrive("/s/x", "a1");
-    const auto refused = sent();
+    startCall("/s/x", "a1");
+    const auto refused = takeSentCall();
     addEngine("e-2", "10.0.1.2:80", {"a1", "a2"});
-    end(refused, AttemptEnd::Refused, EndpointRefusal::OtherIncarnation);
-    const auto again = take<SendCall>();
+    endAttempt(refused, AttemptEnd::Refused, EndpointRefusal::OtherIncarnation);
+    const auto again = takeActions<SendCall>();
     ASSERT_EQ(again.size(), 2U);
     EXPECT_EQ(again[0].endpointId, "e-2");
     EXPECT_EQ(again[1].endpointId, "e-2");
@@ -273,44 +273,44 @@
 
 TEST_F(Calls, ACallThatCannotBeServedIsRefusedAtOnce)
 {
-    arrive("/i/x");
-    auto refused = take<RefuseCall>();
+    startCall("/i/x");
+    auto refused = takeActions<RefuseCall>();
     ASSERT_EQ(refused.size(), 1U) << "no endpoint";
     EXPECT_EQ(refused[0].reason, RefusalReason::NoEndpoint);
     addEngine("e-1", "10.0.1.1:80", {"a1"});
-    learnReading("a1", 40);
-    auto swamped = stateWith({"a1"});
+    measureReading("a1", 40);
+    auto swamped = makeState({"a1"});
     swamped.set_unread_tokens(1'000'000);
     calls_.applyState("10.0.1.1:80", swamped, now_);
-    arrive("/s/x", "a1");
-    refused = take<RefuseCall>();
+    startCall("/s/x", "a1");
+    refused = takeActions<RefuseCall>();
     ASSERT_EQ(refused.size(), 1U) << "its answer would come after the caller has left";
     EXPECT_EQ(refused[0].reason, RefusalReason::DeadlineUnreachable);
-    EXPECT_EQ(refused[0].retryAfter, Seconds(2)) << "nobody knows what is in ten seconds";
+    EXPECT_EQ(refused[0].retryAfter, Seconds(2)) << "the retry time is bounded";
 }
 
 // Guards against refusals that rest on default values before anything is measured.
-TEST_F(Calls, AGuessRefusesNobody)
+TEST_F(Calls, DefaultEstimatesRefuseNoCall)
 {
     addEngine("e-1", "10.0.1.1:80", {"a1"});
-    auto swamped = stateWith({"a1"});
+    auto swamped = makeState({"a1"});
     swamped.set_unread_tokens(1'000'000);
     swamped.set_loads_ahead(100);
     calls_.applyState("10.0.1.1:80", swamped, now_);
-    arrive("/s/x", "a1");
-    arrive("/s/x", "a2");
-    EXPECT_TRUE(take<RefuseCall>().empty());
+    startCall("/s/x", "a1");
+    startCall("/s/x", "a2");
+    EXPECT_TRUE(takeActions<RefuseCall>().empty());
 }
 
 TEST_F(Calls, ARouteThatLastsTooLongIsEndedAtItsTime)
 {
-    addPlain();
-    const auto call = arrive("/n/x", "", Seconds(30));
-    sent();
-    pass(Seconds(4));
-    EXPECT_TRUE(take<AbandonCall>().empty());
-    pass(Milliseconds(1001));
-    const auto ended = take<AbandonCall>();
+    addPlainEndpoints();
+    const auto call = startCall("/n/x", "", Seconds(30));
+    takeSentCall();
+    advance(Seconds(4));
+    EXPECT_TRUE(takeActions<AbandonCall>().empty());
+    advance(Milliseconds(1001));
+    const auto ended = takeActions<AbandonCall>();
     ASSERT_EQ(ended.size(), 1U);
     EXPECT_EQ(ended[0].call, call);
     EXPECT_EQ(ended[0].reason, FailureReason::DeadlinePassed);
@@ -320,93 +320,93 @@
 // not sent.
 TEST_F(Calls, AnUnreachableEndpointIsAvoided)
 {
-    addPlain();
-    arrive("/n/x");
-    const auto first = sent();
-    end(first, AttemptEnd::Unreachable);
-    const auto second = sent();
+    addPlainEndpoints();
+    startCall("/n/x");
+    const auto first = takeSentCall();
+    endAttempt(first, AttemptEnd::Unreachable);
+    const auto second = takeSentCall();
     EXPECT_NE(second.endpointId, first.endpointId);
     for (int i = 0; i < 20; ++i) {
-        arrive("/n/x");
-        EXPECT_EQ(sent().endpointId, second.endpointId);
+        startCall("/n/x");
+        EXPECT_EQ(takeSentCall().endpointId, second.endpointId);
     }
 }
 
 // Guards against refusing calls because the only endpoint is being avoided.
 TEST_F(Calls, AnAvoidedEndpointIsBetterThanNone)
 {
-    calls_.applyEndpoint(endpointOf("p-1", plainService, "10.0.0.1:80"), now_);
-    arrive("/n/x");
-    end(sent(), AttemptEnd::Broken);
-    arrive("/n/x");
-    EXPECT_EQ(sent().endpointId, "p-1");
+    calls_.applyEndpoint(makeEndpoint("p-1", plainService, "10.0.0.1:80"), now_);
+    startCall("/n/x");
+    endAttempt(takeSentCall(), AttemptEnd::Broken);
+    startCall("/n/x");
+    EXPECT_EQ(takeSentCall().endpointId, "p-1");
 }
 
 // Guards against a new entry that counts as ready before sidecars have reported, or never without them.
-TEST_F(Calls, ReadyOnceTheSidecarsHaveTold)
+TEST_F(Calls, ReadyOnceSidecarsHaveReported)
 {
-    calls_.applyEndpoint(endpointOf("e-1", engineService, "10.0.1.1:80"), now_);
+    calls_.applyEndpoint(makeEndpoint("e-1", engineService, "10.0.1.1:80"), now_);
     EXPECT_FALSE(calls_.ready(now_));
     EXPECT_TRUE(calls_.ready(now_ + Seconds(2)));
-    calls_.applyState("10.0.1.1:80", stateWith({}), now_);
+    calls_.applyState("10.0.1.1:80", makeState({}), now_);
     EXPECT_TRUE(calls_.ready(now_));
 }
 
 // Guards against calls to the older of two incarnations at one address while the store holds both records.
 TEST_F(Calls, TheYoungestRecordOfAnAddressCounts)
 {
-    auto young = endpointOf("a-young", plainService, "10.0.0.1:80");
+    auto young = makeEndpoint("a-young", plainService, "10.0.0.1:80");
     young.created = 20;
-    auto old = endpointOf("z-old", plainService, "10.0.0.1:80");
+    auto old = makeEndpoint("z-old", plainService, "10.0.0.1:80");
     old.created = 10;
     calls_.applyEndpoint(young, now_);
     calls_.applyEndpoint(old, now_);
     for (int i = 0; i < 5; ++i) {
-        arrive("/n/x");
-        EXPECT_EQ(sent().endpointId, "a-young");
+        startCall("/n/x");
+        EXPECT_EQ(takeSentCall().endpointId, "a-young");
     }
     calls_.removeEndpoint("z-old", now_);
-    arrive("/n/x");
-    EXPECT_EQ(sent().endpointId, "a-young");
+    startCall("/n/x");
+    EXPECT_EQ(takeSentCall().endpointId, "a-young");
 }
 
 // Guards against refusing a call because the engine's sidecar has not sent its state yet.
 TEST_F(Calls, ASidecarThatHasNotSpokenYetIsWaitedFor)
 {
-    calls_.applyEndpoint(endpointOf("e-1", engineService, "10.0.1.1:80"), now_);
-    arrive("/s/x", "a1");
-    EXPECT_TRUE(take<RefuseCall>().empty());
-    calls_.applyState("10.0.1.1:80", stateWith({"a1"}), now_);
-    EXPECT_EQ(sent().endpointId, "e-1");
+    calls_.applyEndpoint(makeEndpoint("e-1", engineService, "10.0.1.1:80"), now_);
+    startCall("/s/x", "a1");
+    EXPECT_TRUE(takeActions<RefuseCall>().empty());
+    calls_.applyState("10.0.1.1:80", makeState({"a1"}), now_);
+    EXPECT_EQ(takeSentCall().endpointId, "e-1");
 }
 
 // Guards against counters that wrap around when calls end at an endpoint whose record was removed and created again.
 TEST_F(Calls, AnEndpointThatComesBackCountsFromZero)
 {
-    calls_.applyEndpoint(endpointOf("p-1", plainService, "10.0.0.1:80"), now_);
-    arrive("/n/x");
-    const auto before = sent();
+    calls_.applyEndpoint(makeEndpoint("p-1", plainService, "10.0.0.1:80"), now_);
+    startCall("/n/x");
+    const auto before = takeSentCall();
     calls_.removeEndpoint("p-1", now_);
-    calls_.applyEndpoint(endpointOf("p-1", plainService, "10.0.0.1:80"), now_);
-    end(before, AttemptEnd::Answered);
-    addPlain();
+    calls_.applyEndpoint(makeEndpoint("p-1", plainService, "10.0.0.1:80"), now_);
+    endAttempt(before, AttemptEnd::Answered);
+    addPlainEndpoints();
     std::set<std::string> used;
     for (int i = 0; i < 4; ++i) {
-        arrive("/n/x");
-        used.insert(sent().endpointId);
+        startCall("/n/x");
+        used.insert(takeSentCall().endpointId);
     }
     EXPECT_EQ(used.size(), 2U);
 }
 
-TEST_F(Calls, EveryEndedCallIsToldWithWhatDecidedIt)
+TEST_F(Calls, EndedCallRecordsTheLastDecision)
 {
-    addPlain();
-    arrive("/n/x");
-    const auto send = sent();
+    addPlainEndpoints();
+    startCall("/n/x");
+    const auto send = takeSentCall();
     now_ += Milliseconds(20);
     calls_.answerBegan(send.call, send.attempt, now_);
     now_ += Milliseconds(5);
-    end(send, AttemptEnd::Answered);
+    endAttempt(send, AttemptEnd::Answered);
     const auto ended = calls_.takeEnded();
     ASSERT_EQ(ended.size(), 1U);
     EXPECT_EQ(ended[0].requestId, "r1");
--- a/tests/unit/direct_estimates_test.cpp
+++ b/tests/unit/direct_estimates_test.cpp
@@ -25,13 +25,13 @@
 {
     for (const double speed : speeds) {
         ReadingSpeed reading;
-        EXPECT_FALSE(reading.measured());
+        EXPECT_FALSE(reading.isMeasured());
         for (int i = 0; i < 96; ++i) {
             const double tokens = 150 + 60.0 * (i * 11 % 32);
             const double wrong = i % 3 == 0 ? 400 : 0;
             reading.add(tokens, tokens, fromMilliseconds(12 + tokens / (usualTokensPerMs * speed) + wrong));
         }
-        ASSERT_TRUE(reading.measured()) << speed;
+        ASSERT_TRUE(reading.isMeasured()) << speed;
         EXPECT_NEAR(reading.msPerToken() * usualTokensPerMs * speed, 1, 0.1) << speed;
         EXPECT_NEAR(reading.baseMs(), 12, 6) << speed;
     }
@@ -49,13 +49,13 @@
     }
 }
 
-TEST(ReadingSpeed, EqualPromptsTellNoSpeed)
+TEST(ReadingSpeed, EqualPromptsYieldNoSpeed)
 {
     ReadingSpeed reading;
     for (int i = 0; i < 200; ++i) {
         reading.add(500, 500, Milliseconds(20));
     }
-    EXPECT_FALSE(reading.measured());
+    EXPECT_FALSE(reading.isMeasured());
 }
 
 class Loads : public testing::Test
@@ -64,17 +64,17 @@
     void load(const std::string &adapter, double ms, std::uint32_t version = 1)
     {
         const LoadTimes::Name name{"base", adapter};
-        loads_.began(name, version, now_);
+        loads_.onLoadStarted(name, version, now_);
         now_ += fromMilliseconds(ms);
         loads_.checkOverdue(now_);
-        loads_.ended(name, version, now_);
-        loads_.seenHeld({{"base", adapter, version}});
+        loads_.onLoaded(name, version, now_);
+        loads_.recordHeld({{"base", adapter, version}});
     }
     TimePoint now_{Seconds(100)};
     LoadTimes loads_;
 };
 
-TEST_F(Loads, TimesFromTheStoreAndFromCopiesAreToldApartAtAnySpeed)
+TEST_F(Loads, SeparatesStoreAndCopyTimesAtAnySpeed)
 {
     for (const double speed : speeds) {
         loads_ = LoadTimes();
@@ -84,9 +84,9 @@
         for (int i = 0; i < 12; ++i) {
             load("a" + std::to_string(i), usualLoadMs / speed / 10);
         }
-        EXPECT_NEAR(loads_.usualMs(), usualLoadMs / speed, 1) << speed;
+        EXPECT_NEAR(loads_.idleStoreMs(), usualLoadMs / speed, 1) << speed;
         EXPECT_NEAR(loads_.copyMs(), usualLoadMs / speed / 10, 1) << speed;
-        EXPECT_EQ(loads_.copies(), 0U) << "every copy was there: nothing shows how many there are";
+        EXPECT_EQ(loads_.copyCount(), 0U) << "every copy was there: nothing shows how many there are";
     }
 }
 
@@ -100,8 +100,8 @@
         load("a13", usualLoadMs / 10);
         load("a9", usualLoadMs / 10);
     }
-    EXPECT_GE(loads_.copies(), 5U);
-    EXPECT_LT(loads_.copies(), 14U);
+    EXPECT_GE(loads_.copyCount(), 5U);
+    EXPECT_LT(loads_.copyCount(), 14U);
 }
 
 TEST_F(Loads, ANewerVersionIsNoCopy)
@@ -110,7 +110,7 @@
         load("a" + std::to_string(i), usualLoadMs);
     }
     load("a5", usualLoadMs, 2);
-    EXPECT_EQ(loads_.copies(), 0U) << "it came from the store because it is new, not because the copy was dropped";
+    EXPECT_EQ(loads_.copyCount(), 0U) << "it came from the store because it is new, not because the copy was dropped";
 }
 
 // Guards against concurrent loads that keep the store overloaded, and against a window that stays small afterwards.
@@ -118,7 +118,7 @@
 {
     for (const double speed : speeds) {
         loads_ = LoadTimes();
-        EXPECT_EQ(loads_.window(), 1U) << "nobody knows yet how many ask the store at the same moment";
+        EXPECT_EQ(loads_.window(), 1U) << "the load on the store is unknown at first";
         for (int i = 0; i < 3; ++i) {
             load("a" + std::to_string(i), usualLoadMs / speed);
         }
@@ -127,7 +127,7 @@
             load("b" + std::to_string(i), 2.2 * usualLoadMs / speed);
         }
         EXPECT_EQ(loads_.window(), 1U) << speed;
-        EXPECT_GT(loads_.recentMs(), 2 * loads_.usualMs());
+        EXPECT_GT(loads_.recentStoreMs(), 2 * loads_.idleStoreMs());
         for (int i = 0; i < 12; ++i) {
             load("c" + std::to_string(i), usualLoadMs / speed);
         }
@@ -140,9 +140,9 @@
     for (int i = 0; i < 6; ++i) {
         load("a" + std::to_string(i), usualLoadMs);
     }
-    loads_.engineRestarted();
+    loads_.onEngineRestarted();
     load("a1", usualLoadMs);
-    EXPECT_EQ(loads_.copies(), 0U);
+    EXPECT_EQ(loads_.copyCount(), 0U);
     EXPECT_EQ(loads_.copyMs(), 0);
 }
 
@@ -151,19 +151,19 @@
 {
 };
 
-TEST_P(AtAnySpeed, ABacklogIsJudgedByWhatWasMeasured)
+TEST_P(AtAnySpeed, BacklogUsesTheMeasuredReadingSpeed)
 {
-    auto config = configOf(2);
+    auto config = makeConfig(2);
     config.routes.front().firstByteLimit = Seconds(2);
     calls_.applyConfig(config, now_);
     addEngine("e-1", "10.0.1.1:80", {"a1"});
-    learnReading("a1", usualTokensPerMs * GetParam());
+    measureReading("a1", usualTokensPerMs * GetParam());
     for (const double seconds : {1.0, 3.0}) {
-        auto busy = stateWith({"a1"});
+        auto busy = makeState({"a1"});
         busy.set_unread_tokens(static_cast<std::uint64_t>(seconds * 1000 * usualTokensPerMs * GetParam()));
         calls_.applyState("10.0.1.1:80", busy, now_);
-        arrive("/s/x", "a1");
-        EXPECT_EQ(take<RefuseCall>().size(), seconds > 2 ? 1U : 0U) << seconds;
+        startCall("/s/x", "a1");
+        EXPECT_EQ(takeActions<RefuseCall>().size(), seconds > 2 ? 1U : 0U) << seconds;
     }
 }
 
--- a/tests/unit/direct_fixture.h
+++ b/tests/unit/direct_fixture.h
@@ -16,7 +16,7 @@
 inline const std::string addressOne = "10.0.1.1:80";
 inline const std::string addressTwo = "10.0.1.2:80";
 
-inline DirectRoute routeTo(const std::string &prefix, const std::string &service, RepeatRule repeat)
+inline DirectRoute makeRoute(const std::string &prefix, const std::string &service, RepeatRule repeat)
 {
     DirectRoute route;
     route.name = prefix;
@@ -30,13 +30,13 @@
     return route;
 }
 
-inline DirectConfig configOf(std::uint64_t version)
+inline DirectConfig makeConfig(std::uint64_t version)
 {
     DirectConfig config;
     config.version = version;
-    config.routes = {routeTo("/s/", engineService, RepeatRule::Stream),
-                     routeTo("/i/", plainService, RepeatRule::Idempotent),
-                     routeTo("/n/", plainService, RepeatRule::NonIdempotent)};
+    config.routes = {makeRoute("/s/", engineService, RepeatRule::Stream),
+                     makeRoute("/i/", plainService, RepeatRule::Idempotent),
+                     makeRoute("/n/", plainService, RepeatRule::NonIdempotent)};
     DirectService engines;
     engines.name = engineService;
     engines.engine = EngineLimits{2, 1000, {{modelName, 800, 50}}};
@@ -46,7 +46,7 @@
     return config;
 }
 
-inline EndpointRecord endpointOf(const std::string &id, const std::string &service, const std::string &address)
+inline EndpointRecord makeEndpoint(const std::string &id, const std::string &service, const std::string &address)
 {
     EndpointRecord record;
     record.id = id;
@@ -57,7 +57,7 @@
     return record;
 }
 
-inline wire::DirectState stateWith(const std::vector<std::string> &adapters, std::uint32_t version = 1)
+inline wire::DirectState makeState(const std::vector<std::string> &adapters, std::uint32_t version = 1)
 {
     wire::DirectState state;
     state.add_models(modelName);
@@ -79,7 +79,7 @@
     Calls()
         : calls_(init())
     {
-        calls_.applyConfig(configOf(1), now_);
+        calls_.applyConfig(makeConfig(1), now_);
     }
     static DirectCallsInit init()
     {
@@ -87,34 +87,34 @@
         init.dataCentre = "dc";
         return init;
     }
-    void addPlain()
+    void addPlainEndpoints()
     {
-        calls_.applyEndpoint(endpointOf("p-1", plainService, "10.0.0.1:80"), now_);
-        calls_.applyEndpoint(endpointOf("p-2", plainService, "10.0.0.2:80"), now_);
+        calls_.applyEndpoint(makeEndpoint("p-1", plainService, "10.0.0.1:80"), now_);
+        calls_.applyEndpoint(makeEndpoint("p-2", plainService, "10.0.0.2:80"), now_);
     }
     void addEngine(const std::string &id, const std::string &address, const std::vector<std::string> &adapters)
     {
-        calls_.applyEndpoint(endpointOf(id, engineService, address), now_);
-        calls_.applyState(address, stateWith(adapters), now_);
+        calls_.applyEndpoint(makeEndpoint(id, engineService, address), now_);
+        calls_.applyState(address, makeState(adapters), now_);
     }
-    CallHandle arrive(const std::string &path, const std::string &adapter = "", Duration patience = Seconds(4))
+    CallHandle startCall(const std::string &path, const std::string &adapter = "", Duration callerTimeout = Seconds(4))
     {
-        CallFacts facts;
-        facts.requestId = "r" + std::to_string(++last_);
-        facts.host = host;
-        facts.path = path;
-        facts.patience = patience;
+        CallFacts info;
+        info.requestId = "r" + std::to_string(++lastCall_);
+        info.host = host;
+        info.path = path;
+        info.patience = callerTimeout;
         if (path.starts_with("/s/")) {
-            facts.model = modelName;
-            facts.adapter = adapter;
-            facts.promptTokens = 3000;
-            facts.parts = {{"shared", 2000}, {"own" + std::to_string(last_), 1000}};
+            info.model = modelName;
+            info.adapter = adapter;
+            info.promptTokens = 3000;
+            info.parts = {{"shared", 2000}, {"own" + std::to_string(lastCall_), 1000}};
         }
-        calls_.arrive(CallHandle{last_}, facts, now_);
-        return CallHandle{last_};
+        calls_.arrive(CallHandle{lastCall_}, info, now_);
+        return CallHandle{lastCall_};
     }
     template<class Action>
-    std::vector<Action> take()
+    std::vector<Action> takeActions()
     {
         std::vector<Action> result;
         for (auto &action : calls_.takeActions()) {
@@ -124,20 +124,20 @@
         }
         return result;
     }
-    SendCall sent()
+    SendCall takeSentCall()
     {
-        const auto list = take<SendCall>();
+        const auto list = takeActions<SendCall>();
         EXPECT_EQ(list.size(), 1U);
         return list.empty() ? SendCall{} : list.front();
     }
-    void end(const SendCall &send, AttemptEnd how, EndpointRefusal refusal = EndpointRefusal::None)
+    void endAttempt(const SendCall &send, AttemptEnd how, EndpointRefusal refusal = EndpointRefusal::None)
     {
         AttemptResult result;
         result.end = how;
         result.refusal = refusal;
         calls_.attemptEnded(send.call, send.attempt, result, now_);
     }
-    void pass(Duration span)
+    void advance(Duration span)
     {
         now_ += span;
         calls_.tick(now_);
@@ -146,38 +146,38 @@
     /// by `growth` for each preceding token.
     void readPrompt(const std::string &adapter, double tokens, double tokensPerMs, double growth = 0)
     {
-        CallFacts facts;
-        facts.requestId = "read" + std::to_string(++last_);
-        facts.host = host;
-        facts.path = "/s/x";
-        facts.patience = Seconds(60);
-        facts.model = modelName;
-        facts.adapter = adapter;
-        facts.promptTokens = static_cast<std::uint32_t>(tokens);
-        facts.parts = {{"own", static_cast<std::uint32_t>(tokens)}};
-        calls_.applyState("10.0.1.1:80", stateWith({adapter}), now_);
-        calls_.arrive(CallHandle{last_}, facts, now_);
-        const auto send = sent();
+        CallFacts info;
+        info.requestId = "read" + std::to_string(++lastCall_);
+        info.host = host;
+        info.path = "/s/x";
+        info.patience = Seconds(60);
+        info.model = modelName;
+        info.adapter = adapter;
+        info.promptTokens = static_cast<std::uint32_t>(tokens);
+        info.parts = {{"own", static_cast<std::uint32_t>(tokens)}};
+        calls_.applyState("10.0.1.1:80", makeState({adapter}), now_);
+        calls_.arrive(CallHandle{lastCall_}, info, now_);
+        const auto send = takeSentCall();
         now_ += fromMilliseconds((tokens + growth * tokens * tokens / 2) / tokensPerMs);
         calls_.answerBegan(send.call, send.attempt, now_);
-        end(send, AttemptEnd::Answered);
-        take<SendWishes>();
+        endAttempt(send, AttemptEnd::Answered);
+        takeActions<SendWishes>();
     }
     /// Runs calls of this duration at the only engine.
-    void learnRuns(const std::string &adapter, Duration span)
+    void runCalls(const std::string &adapter, Duration span)
     {
         for (int i = 0; i < 8; ++i) {
-            calls_.applyState("10.0.1.1:80", stateWith({adapter}), now_);
-            arrive("/s/x", adapter);
-            const auto send = sent();
+            calls_.applyState("10.0.1.1:80", makeState({adapter}), now_);
+            startCall("/s/x", adapter);
+            const auto send = takeSentCall();
             calls_.answerBegan(send.call, send.attempt, now_);
             now_ += span;
-            end(send, AttemptEnd::Answered);
-            take<SendWishes>();
+            endAttempt(send, AttemptEnd::Answered);
+            takeActions<SendWishes>();
         }
     }
     /// Runs enough calls for the entry to measure the reading speed of its engine.
-    void learnReading(const std::string &adapter, double tokensPerMs, double growth = 0)
+    void measureReading(const std::string &adapter, double tokensPerMs, double growth = 0)
     {
         for (int i = 0; i < 72; ++i) {
             readPrompt(adapter, 300 + 40.0 * (i * 7 % 24), tokensPerMs, growth);
@@ -186,7 +186,7 @@
 
     TimePoint now_{Seconds(100)};
     DirectCalls calls_;
-    std::uint64_t last_ = 0;
+    std::uint64_t lastCall_ = 0;
 };
 
 } // namespace anvilscale::test
--- a/tests/unit/direct_herd_test.cpp
+++ b/tests/unit/direct_herd_test.cpp
@@ -20,27 +20,27 @@
             init.dataCentre = "dc";
             init.policy = policy;
             DirectCalls calls(init);
-            calls.applyConfig(configOf(1), now);
+            calls.applyConfig(makeConfig(1), now);
             for (int i = 0; i < engines; ++i) {
                 const auto address = "10.0.1." + std::to_string(i) + ":80";
-                calls.applyEndpoint(endpointOf("e-" + std::to_string(i), engineService, address), now);
-                auto state = stateWith({});
+                calls.applyEndpoint(makeEndpoint("e-" + std::to_string(i), engineService, address), now);
+                auto state = makeState({});
                 state.set_unread_tokens(address == freeEngine ? 0 : busyTokens);
                 calls.applyState(address, state, now);
             }
-            CallFacts facts;
-            facts.requestId = "entry" + std::to_string(entry);
-            facts.host = host;
-            facts.path = "/s/x";
-            facts.patience = Seconds(60);
-            facts.model = modelName;
-            facts.adapter = "a" + std::to_string(entry);
-            facts.promptTokens = 600;
-            calls.arrive(CallHandle{1}, facts, now);
+            CallFacts info;
+            info.requestId = "entry" + std::to_string(entry);
+            info.host = host;
+            info.path = "/s/x";
+            info.patience = Seconds(60);
+            info.model = modelName;
+            info.adapter = "a" + std::to_string(entry);
+            info.promptTokens = 600;
+            calls.arrive(CallHandle{1}, info, now);
             for (const auto &action : calls.takeActions()) {
-                const auto *wishes = std::get_if<SendWishes>(&action);
-                if (wishes != nullptr && wishes->demand.waiting_tokens() != 0) {
-                    ++result[wishes->address];
+                const auto *sentDemand = std::get_if<SendWishes>(&action);
+                if (sentDemand != nullptr && sentDemand->demand.waiting_tokens() != 0) {
+                    ++result[sentDemand->address];
                 }
             }
         }
@@ -59,7 +59,7 @@
     EXPECT_LE(count, entries / 2);
     DirectPolicy all;
     all.without = *readMechanisms("sampling");
-    EXPECT_EQ(placed(all, now_)[freeEngine], entries) << "what the draw is for";
+    EXPECT_EQ(placed(all, now_)[freeEngine], entries) << "without sampling, all choose the idle engine";
 }
 
 } // namespace anvilscale::test
--- a/tests/unit/direct_load_test.cpp
+++ b/tests/unit/direct_load_test.cpp
@@ -7,24 +7,24 @@
 {
 protected:
     /// Callers abandon streams without an event after two seconds; the reading speed of the only engine is measured.
-    void startWithCallersWhoLeave()
+    void configureFirstByteLimit()
     {
-        auto config = configOf(2);
+        auto config = makeConfig(2);
         config.routes.front().firstByteLimit = Seconds(2);
         calls_.applyConfig(config, now_);
         addEngine("e-1", "10.0.1.1:80", {"a9"});
-        learnReading("a9", 40);
+        measureReading("a9", 40);
     }
     /// A load takes one second instead of 250 ms, and loads run one at a time.
     static wire::DirectState slowStore()
     {
-        auto state = stateWith({});
+        auto state = makeState({});
         state.set_load_ms(250);
         state.set_recent_load_ms(1000);
         state.set_loads_at_once(1);
         return state;
     }
-    void tell(const std::string &address, const wire::DirectState &state)
+    void applyState(const std::string &address, const wire::DirectState &state)
     {
         calls_.applyState(address, state, now_);
     }
@@ -35,56 +35,56 @@
 {
     addEngine("e-1", "10.0.1.1:80", {});
     addEngine("e-2", "10.0.1.2:80", {});
-    arrive("/s/x", "a1");
-    const auto usual = take<SendWishes>();
+    startCall("/s/x", "a1");
+    const auto usual = takeActions<SendWishes>();
     ASSERT_EQ(usual.size(), 1U);
-    auto state = stateWith({});
+    auto state = makeState({});
     state.set_waiting_tokens(60'000);
-    tell(usual.front().address, state);
-    arrive("/s/x", "a1");
+    applyState(usual.front().address, state);
+    startCall("/s/x", "a1");
     EXPECT_EQ(calls_.stats().waitedForAdapter, 2U);
-    const auto second = take<SendWishes>();
+    const auto second = takeActions<SendWishes>();
     ASSERT_EQ(second.size(), 1U);
     EXPECT_NE(second.front().address, usual.front().address);
 }
 
-TEST_F(CallsUnderLoad, AnEntryTellsWhatWaits)
+TEST_F(CallsUnderLoad, DemandIncludesWaitingCalls)
 {
     addEngine("e-1", "10.0.1.1:80", {});
-    arrive("/s/x", "a1");
-    const auto wishes = take<SendWishes>();
-    ASSERT_EQ(wishes.size(), 1U);
-    EXPECT_GE(wishes.front().demand.waiting_tokens(), 3000U);
-    EXPECT_EQ(wishes.front().demand.unread_tokens(), 0U);
-    ASSERT_EQ(wishes.front().demand.wishes_size(), 1);
-    EXPECT_EQ(wishes.front().demand.wishes(0).in_time(), 1U);
+    startCall("/s/x", "a1");
+    const auto demands = takeActions<SendWishes>();
+    ASSERT_EQ(demands.size(), 1U);
+    EXPECT_GE(demands.front().demand.waiting_tokens(), 3000U);
+    EXPECT_EQ(demands.front().demand.unread_tokens(), 0U);
+    ASSERT_EQ(demands.front().demand.wishes_size(), 1);
+    EXPECT_EQ(demands.front().demand.wishes(0).in_time(), 1U);
 }
 
 // Guards against a sidecar that is not notified when a waiting call misses its objective.
 TEST_F(CallsUnderLoad, AWaitingCallBecomesLateByItself)
 {
     addEngine("e-1", "10.0.1.1:80", {});
-    arrive("/s/x", "a1");
-    take<SendWishes>();
-    pass(Milliseconds(1100));
-    const auto wishes = take<SendWishes>();
-    ASSERT_FALSE(wishes.empty());
-    EXPECT_EQ(wishes.back().demand.wishes(0).waiting(), 1U);
-    EXPECT_EQ(wishes.back().demand.wishes(0).in_time(), 0U);
+    startCall("/s/x", "a1");
+    takeActions<SendWishes>();
+    advance(Milliseconds(1100));
+    const auto demands = takeActions<SendWishes>();
+    ASSERT_FALSE(demands.empty());
+    EXPECT_EQ(demands.back().demand.wishes(0).waiting(), 1U);
+    EXPECT_EQ(demands.back().demand.wishes(0).in_time(), 0U);
 }
 
 // Guards against holding a call whose adapter cannot be loaded before its caller leaves.
 TEST_F(CallsUnderLoad, ACallWhoseAdapterComesTooLateIsRefusedAtOnce)
 {
-    startWithCallersWhoLeave();
+    configureFirstByteLimit();
     auto state = slowStore();
     state.set_loads_ahead(3);
     state.set_loads_in_time(3);
     state.set_room(9);
     state.set_slots(9);
-    tell("10.0.1.1:80", state);
-    arrive("/s/x", "a1", Seconds(15));
-    const auto refused = take<RefuseCall>();
+    applyState("10.0.1.1:80", state);
+    startCall("/s/x", "a1", Seconds(15));
+    const auto refused = takeActions<RefuseCall>();
     ASSERT_EQ(refused.size(), 1U);
     EXPECT_EQ(refused.front().reason, RefusalReason::DeadlineUnreachable);
     EXPECT_GT(refused.front().retryAfter, Seconds(1));
@@ -93,34 +93,34 @@
 // Guards against a forecast that includes loads for late calls, which are loaded afterwards.
 TEST_F(CallsUnderLoad, LoadsForLateCallsAreNotWaitedFor)
 {
-    startWithCallersWhoLeave();
+    configureFirstByteLimit();
     auto state = slowStore();
     state.set_loads_ahead(3);
     state.set_room(9);
     state.set_slots(9);
-    tell("10.0.1.1:80", state);
-    arrive("/s/x", "a1", Seconds(15));
-    EXPECT_TRUE(take<RefuseCall>().empty());
+    applyState("10.0.1.1:80", state);
+    startCall("/s/x", "a1", Seconds(15));
+    EXPECT_TRUE(takeActions<RefuseCall>().empty());
 }
 
 // Guards against refusing a call that can meet its objective because many late calls wait for adapters.
 TEST_F(CallsUnderLoad, ALongQueueOfLateCallsRefusesNobodyWhoCanBeInTime)
 {
-    startWithCallersWhoLeave();
-    auto state = stateWith({});
+    configureFirstByteLimit();
+    auto state = makeState({});
     state.set_load_ms(250);
     state.set_recent_load_ms(300);
     state.set_loads_at_once(1);
     state.set_loads_ahead(12);
     state.set_room(12);
     state.set_slots(12);
-    tell("10.0.1.1:80", state);
-    arrive("/s/x", "a1");
-    EXPECT_TRUE(take<RefuseCall>().empty());
+    applyState("10.0.1.1:80", state);
+    startCall("/s/x", "a1");
+    EXPECT_TRUE(takeActions<RefuseCall>().empty());
     state.set_loads_in_time(12);
-    tell("10.0.1.1:80", state);
-    arrive("/s/x", "a2");
-    EXPECT_EQ(take<RefuseCall>().size(), 1U) << "these do come before it";
+    applyState("10.0.1.1:80", state);
+    startCall("/s/x", "a2");
+    EXPECT_EQ(takeActions<RefuseCall>().size(), 1U) << "these do come before it";
 }
 
 // Guards against loading one absent adapter into two engines when calls reach two entries at the same time.
@@ -129,20 +129,20 @@
     for (int i = 1; i <= 6; ++i) {
         addEngine("e-" + std::to_string(i), "10.0.1." + std::to_string(i) + ":80", {});
     }
-    arrive("/s/x", "a1");
-    const auto home = take<SendWishes>().front().address;
+    startCall("/s/x", "a1");
+    const auto home = takeActions<SendWishes>().front().address;
     const std::string elsewhere = home == "10.0.1.1:80" ? "10.0.1.2:80" : "10.0.1.1:80";
-    auto state = stateWith({});
+    auto state = makeState({});
     auto &awaited = *state.add_awaited();
     awaited.set_model(modelName);
     awaited.set_adapter("a2");
     state.set_loads_ahead(1);
     for (const auto *adapter : {"a2", "a2"}) {
-        tell(elsewhere, state);
-        arrive("/s/x", adapter);
-        const auto wishes = take<SendWishes>();
-        ASSERT_EQ(wishes.size(), 1U);
-        EXPECT_EQ(wishes.front().address, elsewhere);
+        applyState(elsewhere, state);
+        startCall("/s/x", adapter);
+        const auto demands = takeActions<SendWishes>();
+        ASSERT_EQ(demands.size(), 1U);
+        EXPECT_EQ(demands.front().address, elsewhere);
     }
 }
 
@@ -150,22 +150,22 @@
 TEST_F(CallsUnderLoad, TheQueueForSlotsCounts)
 {
     addEngine("e-1", "10.0.1.1:80", {"b1"});
-    learnRuns("b1", Seconds(2));
+    runCalls("b1", Seconds(2));
     addEngine("e-2", "10.0.1.2:80", {});
     for (int i = 1; i <= 8; ++i) {
-        auto full = stateWith({"b1", "b2"});
+        auto full = makeState({"b1", "b2"});
         full.set_room(0);
-        tell("10.0.1.2:80", full);
+        applyState("10.0.1.2:80", full);
         full.set_loads_ahead(2);
         full.set_loads_in_time(2);
-        tell("10.0.1.1:80", full);
-        arrive("/s/x", "a" + std::to_string(i));
-        const auto wishes = take<SendWishes>();
-        ASSERT_EQ(wishes.size(), 1U);
-        EXPECT_EQ(wishes.front().address, "10.0.1.2:80") << "whichever engine the adapter would go to otherwise";
-        pass(Milliseconds(1));
-        calls_.callerGone(CallHandle{last_}, now_);
-        take<SendWishes>();
+        applyState("10.0.1.1:80", full);
+        startCall("/s/x", "a" + std::to_string(i));
+        const auto demands = takeActions<SendWishes>();
+        ASSERT_EQ(demands.size(), 1U);
+        EXPECT_EQ(demands.front().address, "10.0.1.2:80") << "whichever engine the adapter would go to otherwise";
+        advance(Milliseconds(1));
+        calls_.callerGone(CallHandle{lastCall_}, now_);
+        takeActions<SendWishes>();
     }
 }
 
@@ -174,31 +174,31 @@
 {
     addEngine("e-1", "10.0.1.1:80", {});
     addEngine("e-2", "10.0.1.2:80", {});
-    arrive("/s/x", "a1");
-    const auto first = take<SendWishes>().front().address;
-    auto crashed = stateWith({"a2"});
+    startCall("/s/x", "a1");
+    const auto first = takeActions<SendWishes>().front().address;
+    auto crashed = makeState({"a2"});
     crashed.set_reachable(false);
-    tell(first, crashed);
-    const auto placed = take<SendWishes>();
+    applyState(first, crashed);
+    const auto placed = takeActions<SendWishes>();
     ASSERT_FALSE(placed.empty());
     EXPECT_NE(placed.back().address, first);
-    arrive("/s/x", "a2");
-    EXPECT_TRUE(take<SendCall>().empty()) << "the adapter is loaded into the other engine";
+    startCall("/s/x", "a2");
+    EXPECT_TRUE(takeActions<SendCall>().empty()) << "the adapter is loaded into the other engine";
 }
 
 // Guards against refusals at an engine whose model is almost loaded after a restart.
 TEST_F(CallsUnderLoad, WhatIsLeftOfAModelsLoadCounts)
 {
-    auto config = configOf(2);
+    auto config = makeConfig(2);
     config.services.front().engine->models.front().reload = Milliseconds(600);
     config.routes.front().firstByteLimit = Seconds(2);
     calls_.applyConfig(config, now_);
-    calls_.applyEndpoint(endpointOf("e-1", engineService, "10.0.1.1:80"), now_);
-    auto empty = stateWith({});
+    calls_.applyEndpoint(makeEndpoint("e-1", engineService, "10.0.1.1:80"), now_);
+    auto empty = makeState({});
     empty.clear_models();
-    tell("10.0.1.1:80", empty);
-    arrive("/s/x", "a1");
-    EXPECT_TRUE(take<RefuseCall>().empty());
+    applyState("10.0.1.1:80", empty);
+    startCall("/s/x", "a1");
+    EXPECT_TRUE(takeActions<RefuseCall>().empty());
     EXPECT_EQ(calls_.stats().waitedForAdapter, 1U);
 }
 
@@ -207,25 +207,25 @@
 {
     constexpr double pairs = 2.5e-5;
     addEngine("e-1", "10.0.1.1:80", {"a1"});
-    learnReading("a1", 38.4, pairs);
+    measureReading("a1", 38.4, pairs);
     for (int i = 0; i < 4; ++i) {
         readPrompt("a1", 20'000, 38.4, pairs);
     }
-    CallFacts facts;
-    facts.requestId = "long";
-    facts.host = host;
-    facts.path = "/s/x";
-    facts.patience = Seconds(5);
-    facts.model = modelName;
-    facts.adapter = "a1";
-    facts.promptTokens = 30'000;
-    facts.parts = {{"own", 30'000}};
-    calls_.arrive(CallHandle{77}, facts, now_);
-    pass(Milliseconds(500));
-    const auto wishes = take<SendWishes>();
-    ASSERT_FALSE(wishes.empty());
-    EXPECT_GT(wishes.back().demand.unread_tokens(), 40'000U);
-    EXPECT_LT(wishes.back().demand.unread_tokens(), 43'000U);
+    CallFacts info;
+    info.requestId = "long";
+    info.host = host;
+    info.path = "/s/x";
+    info.patience = Seconds(5);
+    info.model = modelName;
+    info.adapter = "a1";
+    info.promptTokens = 30'000;
+    info.parts = {{"own", 30'000}};
+    calls_.arrive(CallHandle{77}, info, now_);
+    advance(Milliseconds(500));
+    const auto demands = takeActions<SendWishes>();
+    ASSERT_FALSE(demands.empty());
+    EXPECT_GT(demands.back().demand.unread_tokens(), 40'000U);
+    EXPECT_LT(demands.back().demand.unread_tokens(), 43'000U);
 }
 
 } // namespace anvilscale::test
--- a/tests/unit/direct_news_test.cpp
+++ b/tests/unit/direct_news_test.cpp
@@ -6,7 +6,7 @@
 
 using test::addressOne;
 using test::addressTwo;
-using test::stateWith;
+using test::makeState;
 
 constexpr PeerHandle entry{1};
 
@@ -15,58 +15,58 @@
 protected:
     News()
     {
-        news_.update(stateWith({"a"}));
+        publisher_.update(makeState({"a"}));
     }
     /// The entry has received the current state and acknowledges it.
     void acknowledge()
     {
-        const auto message = news_.messageFor(entry);
+        const auto message = publisher_.messageFor(entry);
         ASSERT_TRUE(message.has_direct_state());
-        news_.entryHas(entry, message.direct_state().sequence());
+        publisher_.entryHas(entry, message.direct_state().sequence());
     }
 
-    StateNews news_;
+    StateNews publisher_;
 };
 
-TEST_F(News, AnEntryThatHasTheStateHearsOnlyOfTheLoad)
+TEST_F(News, EntryWithTheStateReceivesHeartbeats)
 {
     acknowledge();
-    auto state = stateWith({"a"});
+    auto state = makeState({"a"});
     state.set_unread_tokens(500);
     state.set_room(1);
-    news_.update(state);
-    const auto message = news_.messageFor(entry);
+    publisher_.update(state);
+    const auto message = publisher_.messageFor(entry);
     ASSERT_TRUE(message.has_direct_heartbeat());
     EXPECT_EQ(message.direct_heartbeat().unread_tokens(), 500U);
     EXPECT_EQ(message.direct_heartbeat().room(), 1U);
     EXPECT_LT(5 * message.ByteSizeLong(), 200U) << "a fifth of what a state of a full engine takes";
 }
 
-TEST_F(News, AChangeIsToldWhole)
+TEST_F(News, ChangeSendsTheWholeState)
 {
     acknowledge();
-    news_.update(stateWith({"a", "b"}));
-    EXPECT_TRUE(news_.messageFor(entry).has_direct_state());
-    EXPECT_TRUE(news_.messageFor(entry).has_direct_heartbeat()) << "and only once";
+    publisher_.update(makeState({"a", "b"}));
+    EXPECT_TRUE(publisher_.messageFor(entry).has_direct_state());
+    EXPECT_TRUE(publisher_.messageFor(entry).has_direct_heartbeat()) << "and only once";
 }
 
 // Guards against heartbeats that are applied to a state the entry never received.
-TEST_F(News, ALostStateIsToldAgain)
+TEST_F(News, LostStateIsSentAgain)
 {
     acknowledge();
-    news_.update(stateWith({"a", "b"}));
-    const auto lost = news_.messageFor(entry).direct_state().sequence();
-    news_.entryHas(entry, lost - 1);
-    const auto again = news_.messageFor(entry);
+    publisher_.update(makeState({"a", "b"}));
+    const auto lost = publisher_.messageFor(entry).direct_state().sequence();
+    publisher_.entryHas(entry, lost - 1);
+    const auto again = publisher_.messageFor(entry);
     ASSERT_TRUE(again.has_direct_state());
     EXPECT_EQ(again.direct_state().sequence(), lost);
 }
 
 TEST_F(News, AnEntryThatNeverNamesAStateGetsWholeOnes)
 {
-    news_.entryHas(entry, 0);
-    EXPECT_TRUE(news_.messageFor(entry).has_direct_state());
-    EXPECT_TRUE(news_.messageFor(entry).has_direct_state());
+    publisher_.entryHas(entry, 0);
+    EXPECT_TRUE(publisher_.messageFor(entry).has_direct_state());
+    EXPECT_TRUE(publisher_.messageFor(entry).has_direct_state());
 }
 
 class HeardEngines : public test::Calls
@@ -75,20 +75,20 @@
     HeardEngines()
     {
         for (const auto &[id, address] : {std::pair("e-1", addressOne), std::pair("e-2", addressTwo)}) {
-            calls_.applyEndpoint(test::endpointOf(id, test::engineService, address), now_);
-            calls_.applyState(address, told(id, {"a", "b"}), now_);
+            calls_.applyEndpoint(test::makeEndpoint(id, test::engineService, address), now_);
+            calls_.applyState(address, makeReportedState(id, {"a", "b"}), now_);
         }
-        take<SendWishes>();
+        takeActions<SendWishes>();
     }
-    static wire::DirectState told(const std::string &id, const std::vector<std::string> &adapters)
+    static wire::DirectState makeReportedState(const std::string &id, const std::vector<std::string> &adapters)
     {
-        auto state = stateWith(adapters);
+        auto state = makeState(adapters);
         state.set_sequence(7);
         state.set_endpoint_id(id);
         state.set_interval_ms(250);
         return state;
     }
-    void hear(const std::string &address, std::uint64_t sequence = 7)
+    void sendHeartbeat(const std::string &address, std::uint64_t sequence = 7)
     {
         wire::DirectHeartbeat heartbeat;
         heartbeat.set_state_sequence(sequence);
@@ -99,8 +99,8 @@
     {
         std::set<std::string> ids;
         for (int i = 0; i < 24; ++i) {
-            arrive("/s/x", i % 2 == 0 ? "a" : "b");
-            for (const auto &send : take<SendCall>()) {
+            startCall("/s/x", i % 2 == 0 ? "a" : "b");
+            for (const auto &send : takeActions<SendCall>()) {
                 ids.insert(send.endpointId);
             }
         }
@@ -111,9 +111,9 @@
 TEST_F(HeardEngines, HeartbeatsKeepAStateAlive)
 {
     for (int i = 0; i < 20; ++i) {
-        pass(Milliseconds(250));
-        hear(addressOne);
-        hear(addressTwo);
+        advance(Milliseconds(250));
+        sendHeartbeat(addressOne);
+        sendHeartbeat(addressTwo);
     }
     EXPECT_EQ(chosen(), (std::set<std::string>{"e-1", "e-2"}));
 }
@@ -123,29 +123,29 @@
 TEST_F(HeardEngines, AnEngineWhoseSidecarFallsSilentGetsNoMoreCalls)
 {
     for (int i = 0; i < 2; ++i) {
-        pass(Milliseconds(250));
-        hear(addressOne);
+        advance(Milliseconds(250));
+        sendHeartbeat(addressOne);
     }
     EXPECT_EQ(chosen(), std::set<std::string>{"e-1"});
 }
 
-TEST_F(HeardEngines, AHeartbeatOfAnotherStateIsNoNews)
+TEST_F(HeardEngines, IgnoresHeartbeatOfAnotherState)
 {
     for (int i = 0; i < 2; ++i) {
-        pass(Milliseconds(250));
-        hear(addressOne);
-        hear(addressTwo, 8);
+        advance(Milliseconds(250));
+        sendHeartbeat(addressOne);
+        sendHeartbeat(addressTwo, 8);
     }
     EXPECT_EQ(chosen(), std::set<std::string>{"e-1"});
 }
 
 // Guards against a paused entry that takes all sidecars for silent and sends every call to an engine without one.
-TEST_F(HeardEngines, AnEntryThatWasHeldUpTakesNobodyForSilent)
+TEST_F(HeardEngines, PausedEntryTreatsNoSidecarAsSilent)
 {
-    auto unheard = test::endpointOf("e-3", test::engineService, "10.0.1.3:80");
-    unheard.models = {test::modelName};
-    unheard.adapters = {{test::modelName, "a", 1}, {test::modelName, "b", 1}};
-    calls_.applyEndpoint(unheard, now_);
+    auto unconnected = test::makeEndpoint("e-3", test::engineService, "10.0.1.3:80");
+    unconnected.models = {test::modelName};
+    unconnected.adapters = {{test::modelName, "a", 1}, {test::modelName, "b", 1}};
+    calls_.applyEndpoint(unconnected, now_);
     now_ += Milliseconds(1200);
     EXPECT_EQ(chosen(), (std::set<std::string>{"e-1", "e-2", "e-3"}));
 }
@@ -153,11 +153,11 @@
 // Guards against avoiding an engine whose sidecar process has terminated.
 TEST_F(HeardEngines, AnEngineWhoseSidecarHasEndedKeepsItsCalls)
 {
-    pass(Milliseconds(250));
-    hear(addressOne);
+    advance(Milliseconds(250));
+    sendHeartbeat(addressOne);
     calls_.sidecarLost(addressTwo);
-    pass(Milliseconds(250));
-    hear(addressOne);
+    advance(Milliseconds(250));
+    sendHeartbeat(addressOne);
     EXPECT_EQ(chosen(), (std::set<std::string>{"e-1", "e-2"}));
 }
 
--- a/tests/unit/direct_popularity_test.cpp
+++ b/tests/unit/direct_popularity_test.cpp
@@ -15,8 +15,8 @@
         for (std::size_t i = 0; i < engines; ++i) {
             const auto number = std::to_string(i);
             const auto address = "10.0.1." + number + ":80";
-            calls_.applyEndpoint(endpointOf("e-" + number, engineService, address), now_);
-            auto state = stateWith(i < holders ? std::vector<std::string>{"a"} : std::vector<std::string>{});
+            calls_.applyEndpoint(makeEndpoint("e-" + number, engineService, address), now_);
+            auto state = makeState(i < holders ? std::vector<std::string>{"a"} : std::vector<std::string>{});
             state.set_slots(slots);
             state.set_room(slots);
             if (i < holders) {
@@ -25,13 +25,13 @@
             }
             calls_.applyState(address, state, now_);
         }
-        take<SendWishes>();
+        takeActions<SendWishes>();
     }
     /// True if the next call waits for a load into another engine, false if it is sent to a holder.
-    bool nextCallIsLoadedFor()
+    bool nextCallWaitsForLoad()
     {
-        arrive("/s/x", "a");
-        return take<SendCall>().empty();
+        startCall("/s/x", "a");
+        return takeActions<SendCall>().empty();
     }
 };
 
@@ -39,20 +39,20 @@
 TEST_F(PopularAdapter, GetsAFurtherCopyOnceItsCallsQueue)
 {
     addFleet(1, 64, 12'000); // about 600 ms of reading
-    EXPECT_TRUE(nextCallIsLoadedFor());
+    EXPECT_TRUE(nextCallWaitsForLoad());
 }
 
 TEST_F(PopularAdapter, IsNotCopiedWhileItsEnginesHaveTime)
 {
     addFleet(1, 64, 2'000);
-    EXPECT_FALSE(nextCallIsLoadedFor());
+    EXPECT_FALSE(nextCallWaitsForLoad());
 }
 
 // Guards against a further copy for a single call when other adapters' calls make up the queue.
-TEST_F(PopularAdapter, AnAdapterThatFewAskForWaitsItsTurn)
+TEST_F(PopularAdapter, RarelyCalledAdapterGetsNoFurtherCopy)
 {
     addFleet(1, 0, 12'000);
-    EXPECT_FALSE(nextCallIsLoadedFor());
+    EXPECT_FALSE(nextCallWaitsForLoad());
 }
 
 TEST_F(PopularAdapter, EntriesChooseTheSameEngineForTheNextCopy)
@@ -62,31 +62,31 @@
         DirectCallsInit other = init();
         other.dataCentre = "dc";
         DirectCalls calls(other);
-        calls.applyConfig(configOf(1), now_);
+        calls.applyConfig(makeConfig(1), now_);
         for (std::size_t i = 0; i < engines; ++i) {
             const auto number = std::to_string(i);
             const auto address = "10.0.1." + number + ":80";
-            calls.applyEndpoint(endpointOf("e-" + number, engineService, address), now_);
-            auto state = stateWith(i == 0 ? std::vector<std::string>{"a"} : std::vector<std::string>{});
+            calls.applyEndpoint(makeEndpoint("e-" + number, engineService, address), now_);
+            auto state = makeState(i == 0 ? std::vector<std::string>{"a"} : std::vector<std::string>{});
             if (i == 0) {
                 state.mutable_adapters(0)->set_recent_calls(64);
                 state.set_unread_tokens(12'000);
             }
             calls.applyState(address, state, now_);
         }
-        CallFacts facts;
-        facts.requestId = "entry" + std::to_string(entry);
-        facts.host = host;
-        facts.path = "/s/x";
-        facts.patience = Seconds(4);
-        facts.model = modelName;
-        facts.adapter = "a";
-        facts.promptTokens = 3000;
-        calls.arrive(CallHandle{1}, facts, now_);
+        CallFacts info;
+        info.requestId = "entry" + std::to_string(entry);
+        info.host = host;
+        info.path = "/s/x";
+        info.patience = Seconds(4);
+        info.model = modelName;
+        info.adapter = "a";
+        info.promptTokens = 3000;
+        calls.arrive(CallHandle{1}, info, now_);
         for (const auto &action : calls.takeActions()) {
-            if (const auto *wishes = std::get_if<SendWishes>(&action);
-                wishes != nullptr && wishes->demand.waiting_tokens() != 0) {
-                chosen.insert(wishes->address);
+            if (const auto *sentDemand = std::get_if<SendWishes>(&action);
+                sentDemand != nullptr && sentDemand->demand.waiting_tokens() != 0) {
+                chosen.insert(sentDemand->address);
             }
         }
     }
--- a/tests/unit/direct_quarantine_test.cpp
+++ b/tests/unit/direct_quarantine_test.cpp
@@ -10,30 +10,30 @@
     {
         for (int i = 0; i < count; ++i) {
             const auto number = std::to_string(i);
-            calls_.applyEndpoint(endpointOf("c-" + number, plainService, "10.0.2." + number + ":80"), now_);
+            calls_.applyEndpoint(makeEndpoint("c-" + number, plainService, "10.0.2." + number + ":80"), now_);
         }
     }
-    CallHandle ask(const std::string &path, CallFingerprint fingerprint)
+    CallHandle startCallWith(const std::string &path, CallFingerprint fingerprint)
     {
-        CallFacts facts;
-        facts.requestId = "q" + std::to_string(++last_);
-        facts.fingerprint = fingerprint;
-        facts.host = host;
-        facts.path = path;
-        facts.patience = Seconds(4);
-        calls_.arrive(CallHandle{last_}, facts, now_);
-        return CallHandle{last_};
+        CallFacts info;
+        info.requestId = "q" + std::to_string(++lastCall_);
+        info.fingerprint = fingerprint;
+        info.host = host;
+        info.path = path;
+        info.patience = Seconds(4);
+        calls_.arrive(CallHandle{lastCall_}, info, now_);
+        return CallHandle{lastCall_};
     }
     void crash(const std::string &path, CallFingerprint fingerprint)
     {
-        ask(path, fingerprint);
-        end(sent(), AttemptEnd::Broken);
+        startCallWith(path, fingerprint);
+        endAttempt(takeSentCall(), AttemptEnd::Broken);
         calls_.takeActions();
         now_ += Seconds(1);
     }
     void expectRefused(CallFingerprint fingerprint)
     {
-        ask("/n/x", fingerprint);
+        startCallWith("/n/x", fingerprint);
         const auto actions = calls_.takeActions();
         ASSERT_EQ(actions.size(), 1U);
         ASSERT_TRUE(std::holds_alternative<RefuseCall>(actions[0]));
@@ -41,8 +41,8 @@
     }
     void expectSent(CallFingerprint fingerprint)
     {
-        ask("/n/x", fingerprint);
-        sent();
+        startCallWith("/n/x", fingerprint);
+        takeSentCall();
     }
 
     static constexpr CallFingerprint fatal{7};
@@ -66,8 +66,8 @@
     addEndpoints(5);
     crash("/n/x", fatal);
     crash("/n/x", fatal);
-    ask("/i/x", fatal);
-    end(sent(), AttemptEnd::Broken);
+    startCallWith("/i/x", fatal);
+    endAttempt(takeSentCall(), AttemptEnd::Broken);
     const auto actions = calls_.takeActions();
     ASSERT_EQ(actions.size(), 1U);
     EXPECT_TRUE(std::holds_alternative<AbandonCall>(actions[0])) << "it has run: the outcome is not known";
@@ -90,14 +90,14 @@
 TEST_F(Quarantine, OneCrashCountsOnce)
 {
     addEndpoints(1);
-    const auto first = ask("/n/x", fatal);
-    const auto second = ask("/n/x", fatal);
-    auto sends = take<SendCall>();
+    const auto first = startCallWith("/n/x", fatal);
+    const auto second = startCallWith("/n/x", fatal);
+    auto sends = takeActions<SendCall>();
     ASSERT_EQ(sends.size(), 2U);
     EXPECT_EQ(sends[0].call, first);
     EXPECT_EQ(sends[1].call, second);
-    end(sends[0], AttemptEnd::Broken);
-    end(sends[1], AttemptEnd::Broken);
+    endAttempt(sends[0], AttemptEnd::Broken);
+    endAttempt(sends[1], AttemptEnd::Broken);
     const auto reports = calls_.takeCrashReports();
     ASSERT_EQ(reports.size(), 1U);
     calls_.applyCrashReport(reports[0], now_);
@@ -110,8 +110,8 @@
 TEST_F(Quarantine, AnEndpointThatIsBackUnderItsIdCountsAgain)
 {
     addEndpoints(1);
-    for (std::uint64_t born = 1; born <= 3; ++born) {
-        calls_.applyCrashReport({"c-0", born, {fatal}}, now_);
+    for (std::uint64_t startTimeMs = 1; startTimeMs <= 3; ++startTimeMs) {
+        calls_.applyCrashReport({"c-0", startTimeMs, {fatal}}, now_);
     }
     expectRefused(fatal);
 }
@@ -120,8 +120,8 @@
 TEST_F(Quarantine, ARequestThatWasAnsweredIsNoSuspect)
 {
     addEndpoints(5);
-    ask("/n/x", fatal);
-    end(sent(), AttemptEnd::Answered);
+    startCallWith("/n/x", fatal);
+    endAttempt(takeSentCall(), AttemptEnd::Answered);
     for (int i = 0; i < 3; ++i) {
         crash("/n/x", fatal);
     }
@@ -130,39 +130,39 @@
 }
 
 // Guards against clearing a request because an endpoint answered it with an error.
-TEST_F(Quarantine, AFailureOfTheEndpointsOwnAcquitsNobody)
+TEST_F(Quarantine, EndpointErrorDoesNotClearASuspect)
 {
     addEndpoints(5);
     crash("/n/x", fatal);
     crash("/n/x", fatal);
-    ask("/n/x", fatal);
-    end(sent(), AttemptEnd::OwnFailure);
+    startCallWith("/n/x", fatal);
+    endAttempt(takeSentCall(), AttemptEnd::OwnFailure);
     calls_.takeActions();
     crash("/n/x", fatal);
     expectRefused(fatal);
 }
 
 // Guards against a quarantined call that waits for its adapter until its deadline.
-TEST_F(Quarantine, AWaitingCallEndsWithTheNews)
+TEST_F(Quarantine, QuarantineEndsAWaitingCall)
 {
     addEngine("e-1", addressOne, {});
-    CallFacts facts;
-    facts.requestId = "waits";
-    facts.fingerprint = fatal;
-    facts.host = host;
-    facts.path = "/s/x";
-    facts.model = modelName;
-    facts.adapter = "a1";
-    facts.patience = Seconds(4);
-    calls_.arrive(CallHandle{77}, facts, now_);
+    CallFacts info;
+    info.requestId = "waits";
+    info.fingerprint = fatal;
+    info.host = host;
+    info.path = "/s/x";
+    info.model = modelName;
+    info.adapter = "a1";
+    info.patience = Seconds(4);
+    calls_.arrive(CallHandle{77}, info, now_);
     calls_.takeActions();
     for (const auto *id : {"elsewhere-1", "elsewhere-2", "elsewhere-3"}) {
         calls_.applyCrashReport({id, 0, {fatal}}, now_);
     }
-    pass(Milliseconds(300));
-    EXPECT_EQ(take<RefuseCall>().size(), 1U);
-    calls_.applyState(addressOne, stateWith({"a1"}), now_);
-    EXPECT_TRUE(take<SendCall>().empty());
+    advance(Milliseconds(300));
+    EXPECT_EQ(takeActions<RefuseCall>().size(), 1U);
+    calls_.applyState(addressOne, makeState({"a1"}), now_);
+    EXPECT_TRUE(takeActions<SendCall>().empty());
 }
 
 // Guards against a table that grows without bound, or that evicts a quarantined request.
