--- a/src/direct/call_learning.cpp
+++ b/src/direct/call_learning.cpp
@@ -1,4 +1,4 @@
-// What an entry learns from its calls, and what it makes of it: ranks, and its share of what may be sent once more.
+// Estimates learned from calls, call ranks and the entry's share of retries.
 #include "direct_calls_impl.h"
 
 #include <algorithm>
@@ -7,56 +7,55 @@
 
 namespace {
 
-// All entries together may send so much more than their share of calls; kept back for entries that have just started
-// and are not heard everywhere yet.
-constexpr double slackUsed = 0.7;
+// Usable share of the retry slack of all entries; the rest is reserved for entries that sidecars do not count yet.
+constexpr double usableSlackShare = 0.7;
 
 } // namespace
 
-void DirectCalls::Impl::learnFirstByte(const DirectCall &call, EndpointEntry &entry, TimePoint now)
+void DirectCalls::Impl::recordFirstByte(const DirectCall &call, EndpointEntry &entry, TimePoint now)
 {
-    auto &service = learned[call.service];
-    const auto took = now - call.stepSince;
-    service.firstByteMs.add(milliseconds(took));
-    if (!call.engine) {
+    auto &service = estimates[call.service];
+    const auto elapsed = now - call.stepStartedAt;
+    service.firstByteMs.add(milliseconds(elapsed));
+    if (!call.isEngine) {
         return;
     }
-    entry.countFirstByte(took, call.reading, now);
-    // Behind much other work the time says little of one prompt.
-    const bool clear = call.tokensAhead <= call.freshTokens;
-    if (clear && init.policy.has(Mechanism::LearnedReading)) {
-        service.reading.add(call.tokensAhead + call.freshTokens, call.freshTokens, took);
+    entry.recordFirstByte(elapsed, call.readingTime, now);
+    // With much other work ahead, the time does not show the reading speed of one prompt.
+    const bool isUndisturbed = call.tokensAhead <= call.uncachedTokens;
+    if (isUndisturbed && init.policy.has(Mechanism::LearnedReading)) {
+        service.reading.add(call.tokensAhead + call.uncachedTokens, call.uncachedTokens, elapsed);
     }
 }
 
-void DirectCalls::Impl::learnRun(const DirectCall &call, TimePoint now)
+void DirectCalls::Impl::recordRun(const DirectCall &call, TimePoint now)
 {
-    auto &service = learned[call.service];
-    if (call.engine) {
-        service.runMs.add(milliseconds(now - call.stepSince));
-    } else if (call.alone) {
-        service.plainMs.add(milliseconds(now - call.stepSince));
+    auto &service = estimates[call.service];
+    if (call.isEngine) {
+        service.runMs.add(milliseconds(now - call.stepStartedAt));
+    } else if (call.wasOnlyCall) {
+        service.plainRunMs.add(milliseconds(now - call.stepStartedAt));
     }
 }
 
-// Engines take up what is more urgent first. A call that would be late even at an idle engine gives way: callers who
-// can still be in time do not wait behind it.
-std::uint32_t DirectCalls::Impl::rankOf(const DirectCall &call, TimePoint now)
+// Rank of the call at the engine, lower ranks first. A call that would be late even at an idle engine gets a higher
+// rank, so that calls that can meet their objective do not wait behind it.
+std::uint32_t DirectCalls::Impl::computeRank(const DirectCall &call, TimePoint now)
 {
-    const auto alone = fromMilliseconds(learned[call.service].reading.aloneMs(call.unreadTokens));
-    const bool late = call.engine && now + alone > call.arrived + call.objective;
-    return call.priority + (late && init.policy.has(Mechanism::LateRank) ? init.policy.lateRank : 0);
+    const auto idleEngineTime = fromMilliseconds(estimates[call.service].reading.idleEngineMs(call.unreadTokens));
+    const bool isLate = call.isEngine && now + idleEngineTime > call.arrivedAt + call.objective;
+    return call.priority + (isLate && init.policy.has(Mechanism::LateRank) ? init.policy.lateRankOffset : 0);
 }
 
-// How many entries share the allowance is learned from the sidecars, which hear all of them.
-void DirectCalls::Impl::shareRetries(TimePoint now)
+// Sidecars report how many entries share the allowance.
+void DirectCalls::Impl::updateRetryShare(TimePoint now)
 {
     std::uint32_t entries = 0;
-    for (const auto &[id, entry] : endpoints.all()) {
-        entries = entry.stateFresh(now) ? std::max(entries, entry.state->entries()) : entries;
+    for (const auto &[id, entry] : endpoints.entries()) {
+        entries = entry.hasFreshState(now) ? std::max(entries, entry.state->entries()) : entries;
     }
     if (entries != 0 && init.retrySlack > 0) {
-        retriesSaved = std::max(1.0, slackUsed * init.retrySlack / entries);
+        maxRetryBalance = std::max(1.0, usableSlackShare * init.retrySlack / entries);
     }
 }
 
--- a/src/direct/endpoint_news.cpp
+++ b/src/direct/endpoint_news.cpp
@@ -1,4 +1,4 @@
-// News of endpoints: records of the store, states that sidecars tell, and what they mean for calls that wait there.
+// Updates of endpoints from the store, sidecars and answers, and their effect on waiting calls.
 #include "direct_calls_impl.h"
 
 #include <algorithm>
@@ -8,66 +8,65 @@
 bool DirectCalls::applyEndpoint(const EndpointRecord &record, TimePoint now)
 {
     auto *known = impl_->endpoints.find(record.id);
-    const bool restarted = known != nullptr && known->endedBefore(record.born);
+    const bool restarted = known != nullptr && known->isOlderThan(record.born);
     if (restarted) {
         impl_->onRestarted(*known, record.born, now);
     }
-    const auto effect = impl_->endpoints.put(record, now);
+    const auto effect = impl_->endpoints.applyRecord(record, now);
     if (record.leaving && effect != RecordEffect::Stale) {
         impl_->rerouteWaiting(*impl_->endpoints.find(record.id), now);
     }
     return restarted || effect == RecordEffect::Changed;
 }
 
-// The endpoint's process has ended and another one has its id, so that no refusal tells the two apart. Calls that were
-// sent to the one before end with their connections; what they counted there is forgotten with it. Calls that wait for
-// an adapter there are thought over: the new process holds none.
-void DirectCalls::Impl::onRestarted(EndpointEntry &entry, std::uint64_t born, TimePoint now)
+// A new process runs under the endpoint's id. Counters of calls sent to the old one are reset with it, and calls
+// waiting for an adapter there are placed again, since the new process holds none.
+void DirectCalls::Impl::onRestarted(EndpointEntry &entry, std::uint64_t startTimeMs, TimePoint now)
 {
-    const auto waiting = std::exchange(entry.waiting, {});
-    endpoints.startAnew(entry, born, now);
+    const auto waiting = std::exchange(entry.waitingCalls, {});
+    endpoints.resetProcess(entry, startTimeMs, now);
     actions.emplace_back(DropConnections{entry.record.address});
-    routeAgain(waiting, now);
+    rerouteCalls(waiting, now);
 }
 
 void DirectCalls::removeEndpoint(const std::string &id, TimePoint now)
 {
     if (auto *entry = impl_->endpoints.find(id)) {
-        impl_->forgetEndpoint(*entry, now);
+        impl_->dropEndpoint(*entry, now);
     }
 }
 
-// Calls that wait for an adapter there would do so until they are thought over, up to a second later.
-void DirectCalls::Impl::forgetEndpoint(EndpointEntry &entry, TimePoint now)
+// Places waiting calls again at once, and not only at their next check.
+void DirectCalls::Impl::dropEndpoint(EndpointEntry &entry, TimePoint now)
 {
     entry.record.leaving = true;
     rerouteWaiting(entry, now);
     endpoints.remove(std::string(entry.record.id), now);
 }
 
-// An endpoint that leaves or has crashed takes no new calls, also none that have waited there since before.
+// An endpoint that is leaving or has crashed gets no calls that already waited there.
 void DirectCalls::Impl::rerouteWaiting(EndpointEntry &entry, TimePoint now)
 {
     entry.waitingTokens = 0;
-    entry.waitingOn.clear();
-    routeAgain(std::exchange(entry.waiting, {}), now);
+    entry.waitingByAdapter.clear();
+    rerouteCalls(std::exchange(entry.waitingCalls, {}), now);
 }
 
-void DirectCalls::Impl::routeAgain(const std::set<CallHandle> &waiting, TimePoint now)
+void DirectCalls::Impl::rerouteCalls(const std::set<CallHandle> &waiting, TimePoint now)
 {
     for (const auto handle : waiting) {
         auto &call = calls.at(handle);
-        call.adapterWait += now - call.stepSince;
-        route(handle, call, now);
+        call.adapterWait += now - call.stepStartedAt;
+        routeCall(handle, call, now);
     }
 }
 
 void DirectCalls::applyVersion(const NamedVersion &version, TimePoint /*now*/)
 {
-    auto &known = impl_->versions[{version.model, version.adapter}];
+    auto &known = impl_->namedVersions[{version.model, version.adapter}];
     known = std::max(known, version.version);
-    for (auto &[id, entry] : impl_->endpoints.all()) {
-        entry.changed = true;
+    for (auto &[id, entry] : impl_->endpoints.entries()) {
+        entry.hasDemandChanged = true;
     }
 }
 
@@ -77,49 +76,49 @@
     if (entry == nullptr) {
         return false;
     }
-    const bool leaves = notice.leaving && !entry->record.leaving;
-    const bool pauses = notice.pause != Duration(0) && !entry->pauses(now);
-    entry->saidLeaving = entry->saidLeaving || notice.leaving;
+    const bool isLeaving = notice.leaving && !entry->record.leaving;
+    const bool isPaused = notice.pause != Duration(0) && !entry->isPaused(now);
+    entry->hasAnnouncedLeaving = entry->hasAnnouncedLeaving || notice.leaving;
     entry->pausedUntil = std::max(entry->pausedUntil, now + notice.pause);
     entry->record.leaving = entry->record.leaving || notice.leaving;
-    if (leaves || pauses) {
+    if (isLeaving || isPaused) {
         impl_->rerouteWaiting(*entry, now);
     }
-    return leaves || pauses;
+    return isLeaving || isPaused;
 }
 
 void DirectCalls::applyCrashReport(const CrashReport &report, TimePoint now)
 {
-    impl_->quarantine.apply(report, now);
+    impl_->quarantine.applyReport(report, now);
 }
 
 void DirectCalls::applyState(const std::string &address, const wire::DirectState &state, TimePoint now)
 {
     auto *entry = impl_->endpoints.findByAddress(address);
-    impl_->endpoints.noteHeard(now);
+    impl_->endpoints.recordMessage(now);
     if (entry == nullptr || entry->isOutdated(state)) {
         return;
     }
-    // The sidecar sees a restart before the store does.
+    // A sidecar may see a restart before the store does.
     const bool sameId = state.endpoint_id() == entry->record.id;
-    if (sameId && entry->endedBefore(state.born())) {
+    if (sameId && entry->isOlderThan(state.born())) {
         impl_->onRestarted(*entry, state.born(), now);
     }
     entry->applyState(state, now);
-    entry->changed = true;
+    entry->hasDemandChanged = true;
     if (state.load_ms() != 0) {
-        impl_->learned[entry->record.service].loadMs = state.load_ms();
+        impl_->estimates[entry->record.service].loadMs = state.load_ms();
     }
-    if (!state.reachable() || entry->leaves(now)) {
+    if (!state.reachable() || entry->isLeaving(now)) {
         impl_->rerouteWaiting(*entry, now);
         return;
     }
-    impl_->sendWaiting(entry->record.id, now);
+    impl_->sendReadyCalls(entry->record.id, now);
 }
 
 void DirectCalls::applyHeartbeat(const std::string &address, const wire::DirectHeartbeat &heartbeat, TimePoint now)
 {
-    impl_->endpoints.noteHeard(now);
+    impl_->endpoints.recordMessage(now);
     if (auto *entry = impl_->endpoints.findByAddress(address)) {
         entry->applyHeartbeat(heartbeat, now);
     }
@@ -133,9 +132,9 @@
 void DirectCalls::sidecarLost(const std::string &address)
 {
     if (auto *entry = impl_->endpoints.findByAddress(address)) {
-        entry->forgetSidecar();
+        entry->onSidecarLost();
     }
-    impl_->wishes.erase(address);
+    impl_->sentDemands.erase(address);
 }
 
 } // namespace anvilscale
--- a/src/direct/load_times.h
+++ b/src/direct/load_times.h
@@ -1,5 +1,5 @@
-// What a sidecar learns from the loads into its engine: how long an adapter takes, from the weight store and from the
-// engine's own copies, how many copies it keeps, and how many loads may go on side by side.
+// Load times of one engine as learned by its sidecar: from the weight store, from local copies, and how many loads
+// may run concurrently.
 #pragma once
 
 #include "estimates.h"
@@ -17,56 +17,56 @@
     using Name = std::pair<std::string, std::string>; // model, adapter
 
     LoadTimes();
-    /// An order to load it was accepted.
-    void began(const Name &name, std::uint32_t version, TimePoint now);
-    /// It is in the engine now.
-    void ended(const Name &name, std::uint32_t version, TimePoint now);
-    /// All adapters that the engine holds, as it reports them.
-    void seenHeld(const std::vector<HeldAdapter> &held);
-    void modelBegan(TimePoint now);
-    void modelEnded(TimePoint now);
-    /// The engine has started again and keeps no copies of adapters. What was learned of times stays.
-    void engineRestarted();
-    /// Some load is on its way for longer than usual: the store is asked for more than it carries.
+    /// An order to load the adapter was accepted.
+    void onLoadStarted(const Name &name, std::uint32_t version, TimePoint now);
+    /// The engine holds the adapter now.
+    void onLoaded(const Name &name, std::uint32_t version, TimePoint now);
+    /// Records all adapters that the engine reports as held.
+    void recordHeld(const std::vector<HeldAdapter> &held);
+    void onModelLoadStarted(TimePoint now);
+    void onModelLoaded(TimePoint now);
+    /// The engine has restarted without copies of adapters. Learned times are kept.
+    void onEngineRestarted();
+    /// Narrows the window if a load takes longer than usual, which shows that the store is overloaded.
     void checkOverdue(TimePoint now);
 
-    /// From the weight store while it is not busy; 0: none was seen.
-    double usualMs() const;
-    /// From the weight store lately.
-    double recentMs() const;
+    /// Load time in ms from an idle weight store; 0 without samples.
+    double idleStoreMs() const;
+    /// Recent load time in ms from the weight store.
+    double recentStoreMs() const;
     double copyMs() const;
     double modelMs() const;
-    /// Adapters held before that still load from a copy, counted from the last held; 0: not known.
-    std::size_t copies() const;
-    /// Loads that may go on at the same time.
+    /// Number of most recently held adapters that load from a copy; 0 if unknown.
+    std::size_t copyCount() const;
+    /// Maximum number of concurrent loads.
     std::size_t window() const;
 
 private:
     struct Load
     {
-        TimePoint since{};
-        std::size_t heldAgo = 0; // adapters held since it was held itself
-        bool heldBefore = false;
+        TimePoint startedAt{};
+        std::size_t recencyRank = 0; // number of adapters held more recently
+        bool wasHeld = false;
     };
     struct Held
     {
-        std::list<Name>::iterator place; // in order_
+        std::list<Name>::iterator position; // in byRecency_
         std::uint32_t version = 0;
     };
-    void noteStoreLoad(double ms, TimePoint now);
+    void recordStoreLoad(double ms, TimePoint now);
     void narrowIfSlow(double ms, TimePoint now);
-    void learnCopies(const Load &load, bool fast);
-    void touch(const Name &name, std::uint32_t version);
+    void updateCopyCount(const Load &load, bool isFast);
+    void markHeld(const Name &name, std::uint32_t version);
 
-    RecentSamples store_;
-    RecentSamples recentStore_;
-    RecentSamples copy_;
+    RecentSamples storeSamples_;
+    RecentSamples recentStoreSamples_;
+    RecentSamples copySamples_;
     double modelMs_ = 0;
-    std::optional<TimePoint> modelSince_;
-    std::map<Name, Load> underWay_;
-    std::list<Name> order_; // adapters that the engine has held, the last held first; bounded
+    std::optional<TimePoint> modelStartedAt_;
+    std::map<Name, Load> pending_;
+    std::list<Name> byRecency_; // adapters that the engine has held, most recent first; bounded
     std::map<Name, Held> held_; // the same by name
-    double copies_ = 0; // 0: nothing seen that bounds it
+    double copyCount_ = 0; // 0 until a load shows a limit
     double window_;
     TimePoint narrowedAt_{};
 };
--- a/tests/unit/direct_quarantine_test.cpp
+++ b/tests/unit/direct_quarantine_test.cpp
@@ -1,4 +1,4 @@
-// Requests that crash the endpoints that run them.
+// Quarantine of requests that crash the endpoints running them.
 #include "direct_fixture.h"
 
 namespace anvilscale::test {
@@ -10,30 +10,30 @@
     {
         for (int i = 0; i < count; ++i) {
             const auto number = std::to_string(i);
-            calls_.applyEndpoint(endpointOf("c-" + number, plainService, "10.0.2." + number + ":80"), now_);
+            calls_.applyEndpoint(makeEndpoint("c-" + number, plainService, "10.0.2." + number + ":80"), now_);
         }
     }
-    CallHandle ask(const std::string &path, CallFingerprint fingerprint)
+    CallHandle startCallWith(const std::string &path, CallFingerprint fingerprint)
     {
-        CallFacts facts;
-        facts.requestId = "q" + std::to_string(++last_);
-        facts.fingerprint = fingerprint;
-        facts.host = host;
-        facts.path = path;
-        facts.patience = Seconds(4);
-        calls_.arrive(CallHandle{last_}, facts, now_);
-        return CallHandle{last_};
+        CallFacts info;
+        info.requestId = "q" + std::to_string(++lastCall_);
+        info.fingerprint = fingerprint;
+        info.host = host;
+        info.path = path;
+        info.patience = Seconds(4);
+        calls_.arrive(CallHandle{lastCall_}, info, now_);
+        return CallHandle{lastCall_};
     }
     void crash(const std::string &path, CallFingerprint fingerprint)
     {
-        ask(path, fingerprint);
-        end(sent(), AttemptEnd::Broken);
+        startCallWith(path, fingerprint);
+        endAttempt(takeSentCall(), AttemptEnd::Broken);
         calls_.takeActions();
         now_ += Seconds(1);
     }
     void expectRefused(CallFingerprint fingerprint)
     {
-        ask("/n/x", fingerprint);
+        startCallWith("/n/x", fingerprint);
         const auto actions = calls_.takeActions();
         ASSERT_EQ(actions.size(), 1U);
         ASSERT_TRUE(std::holds_alternative<RefuseCall>(actions[0]));
@@ -41,15 +41,15 @@
     }
     void expectSent(CallFingerprint fingerprint)
     {
-        ask("/n/x", fingerprint);
-        sent();
+        startCallWith("/n/x", fingerprint);
+        takeSentCall();
     }
 
     static constexpr CallFingerprint fatal{7};
     static constexpr CallFingerprint other{8};
 };
 
-// Guards against a request that comes again under a new id and ends one endpoint after the other.
+// Guards against a request that is repeated under new ids and crashes one endpoint after another.
 TEST_F(Quarantine, ARequestUnderWhichThreeEndpointsEndedReachesNoFourth)
 {
     addEndpoints(5);
@@ -60,20 +60,20 @@
     expectSent(other);
 }
 
-// Guards against the entry's own retry as a fourth endpoint, of a call that has already run at the third.
+// Guards against a retry at a fourth endpoint by the entry itself.
 TEST_F(Quarantine, ARetryStopsAtTheThirdEndpoint)
 {
     addEndpoints(5);
     crash("/n/x", fatal);
     crash("/n/x", fatal);
-    ask("/i/x", fatal);
-    end(sent(), AttemptEnd::Broken);
+    startCallWith("/i/x", fatal);
+    endAttempt(takeSentCall(), AttemptEnd::Broken);
     const auto actions = calls_.takeActions();
     ASSERT_EQ(actions.size(), 1U);
     EXPECT_TRUE(std::holds_alternative<AbandonCall>(actions[0])) << "it has run: the outcome is not known";
 }
 
-// Guards against entries of which each knows only the crashes that it saw itself.
+// Guards against entries that count only the crashes at their own attempts.
 TEST_F(Quarantine, CrashesThatOtherEntriesSawCount)
 {
     addEndpoints(3);
@@ -86,19 +86,18 @@
     expectSent(other);
 }
 
-// Guards against an innocent request under quarantine for one crash that several of its attempts met, or that is told
-// twice.
+// Guards against quarantining an innocent request for one crash that several attempts met or that is reported twice.
 TEST_F(Quarantine, OneCrashCountsOnce)
 {
     addEndpoints(1);
-    const auto first = ask("/n/x", fatal);
-    const auto second = ask("/n/x", fatal);
-    auto sends = take<SendCall>();
+    const auto first = startCallWith("/n/x", fatal);
+    const auto second = startCallWith("/n/x", fatal);
+    auto sends = takeActions<SendCall>();
     ASSERT_EQ(sends.size(), 2U);
     EXPECT_EQ(sends[0].call, first);
     EXPECT_EQ(sends[1].call, second);
-    end(sends[0], AttemptEnd::Broken);
-    end(sends[1], AttemptEnd::Broken);
+    endAttempt(sends[0], AttemptEnd::Broken);
+    endAttempt(sends[1], AttemptEnd::Broken);
     const auto reports = calls_.takeCrashReports();
     ASSERT_EQ(reports.size(), 1U);
     calls_.applyCrashReport(reports[0], now_);
@@ -107,22 +106,22 @@
     expectSent(fatal);
 }
 
-// Guards against a crash that is not counted because the endpoint is back under the id that it had.
+// Guards against counting crashes of a restarted endpoint with the same id only once.
 TEST_F(Quarantine, AnEndpointThatIsBackUnderItsIdCountsAgain)
 {
     addEndpoints(1);
-    for (std::uint64_t born = 1; born <= 3; ++born) {
-        calls_.applyCrashReport({"c-0", born, {fatal}}, now_);
+    for (std::uint64_t startTimeMs = 1; startTimeMs <= 3; ++startTimeMs) {
+        calls_.applyCrashReport({"c-0", startTimeMs, {fatal}}, now_);
     }
     expectRefused(fatal);
 }
 
-// Guards against a path that many callers ask for under quarantine because it is under way at every crash.
+// Guards against quarantining a frequent request because it is in progress at every crash.
 TEST_F(Quarantine, ARequestThatWasAnsweredIsNoSuspect)
 {
     addEndpoints(5);
-    ask("/n/x", fatal);
-    end(sent(), AttemptEnd::Answered);
+    startCallWith("/n/x", fatal);
+    endAttempt(takeSentCall(), AttemptEnd::Answered);
     for (int i = 0; i < 3; ++i) {
         crash("/n/x", fatal);
     }
@@ -130,44 +129,43 @@
     EXPECT_TRUE(calls_.takeCrashReports().empty());
 }
 
-// Guards against a request that is taken for harmless because an endpoint that fails part of its calls answered it with
-// a failure.
-TEST_F(Quarantine, AFailureOfTheEndpointsOwnAcquitsNobody)
+// Guards against clearing a request because an endpoint answered it with an error.
+TEST_F(Quarantine, EndpointErrorDoesNotClearASuspect)
 {
     addEndpoints(5);
     crash("/n/x", fatal);
     crash("/n/x", fatal);
-    ask("/n/x", fatal);
-    end(sent(), AttemptEnd::OwnFailure);
+    startCallWith("/n/x", fatal);
+    endAttempt(takeSentCall(), AttemptEnd::OwnFailure);
     calls_.takeActions();
     crash("/n/x", fatal);
     expectRefused(fatal);
 }
 
-// Guards against a call that waits for its adapter until its deadline although no endpoint may run it any more.
-TEST_F(Quarantine, AWaitingCallEndsWithTheNews)
+// Guards against a quarantined call that waits for its adapter until its deadline.
+TEST_F(Quarantine, QuarantineEndsAWaitingCall)
 {
     addEngine("e-1", addressOne, {});
-    CallFacts facts;
-    facts.requestId = "waits";
-    facts.fingerprint = fatal;
-    facts.host = host;
-    facts.path = "/s/x";
-    facts.model = modelName;
-    facts.adapter = "a1";
-    facts.patience = Seconds(4);
-    calls_.arrive(CallHandle{77}, facts, now_);
+    CallFacts info;
+    info.requestId = "waits";
+    info.fingerprint = fatal;
+    info.host = host;
+    info.path = "/s/x";
+    info.model = modelName;
+    info.adapter = "a1";
+    info.patience = Seconds(4);
+    calls_.arrive(CallHandle{77}, info, now_);
     calls_.takeActions();
     for (const auto *id : {"elsewhere-1", "elsewhere-2", "elsewhere-3"}) {
         calls_.applyCrashReport({id, 0, {fatal}}, now_);
     }
-    pass(Milliseconds(300));
-    EXPECT_EQ(take<RefuseCall>().size(), 1U);
-    calls_.applyState(addressOne, stateWith({"a1"}), now_);
-    EXPECT_TRUE(take<SendCall>().empty());
+    advance(Milliseconds(300));
+    EXPECT_EQ(takeActions<RefuseCall>().size(), 1U);
+    calls_.applyState(addressOne, makeState({"a1"}), now_);
+    EXPECT_TRUE(takeActions<SendCall>().empty());
 }
 
-// Guards against a table that grows with every broken answer, or that forgets the request it is there for.
+// Guards against a table that grows without bound, or that evicts a quarantined request.
 TEST_F(Quarantine, ManySuspectsPushOutNoneThatIsHeld)
 {
     addEndpoints(1);
@@ -181,7 +179,7 @@
     expectRefused(fatal);
 }
 
-// Guards against a quarantine that nobody ends: a request may be harmless once the endpoints' fault is mended.
+// Guards against a quarantine without end: the request may be harmless once the fault is fixed.
 TEST_F(Quarantine, ACrashCountsForALimitedTime)
 {
     addEndpoints(1);
--- a/tests/unit/direct_restart_test.cpp
+++ b/tests/unit/direct_restart_test.cpp
@@ -1,5 +1,4 @@
-// Endpoints that start again under the id that they had: what an entry knew of the process before, and what calls still
-// report of it, must not count for the new one.
+// Endpoints that restart under the same id: state and counters of the old process must not affect the new one.
 #include "direct_fixture.h"
 
 namespace anvilscale::test {
@@ -7,138 +6,132 @@
 class Restarts : public Calls
 {
 protected:
-    static constexpr std::uint64_t firstBirth = 1'767'883'170'000;
-    static constexpr std::uint64_t secondBirth = firstBirth + 9000;
+    static constexpr std::uint64_t firstStartMs = 1'767'883'170'000;
+    static constexpr std::uint64_t secondStartMs = firstStartMs + 9000;
 
-    static EndpointRecord recordOf(std::uint64_t born, const std::string &id = "e-1",
+    static EndpointRecord recordOf(std::uint64_t startTimeMs, const std::string &id = "e-1",
                                    const std::string &address = "10.0.1.1:80")
     {
-        auto record = endpointOf(id, engineService, address);
-        record.born = born;
+        auto record = makeEndpoint(id, engineService, address);
+        record.born = startTimeMs;
         return record;
     }
-    static wire::DirectState stateOf(std::uint64_t born, const std::vector<std::string> &adapters)
+    static wire::DirectState stateOf(std::uint64_t startTimeMs, const std::vector<std::string> &adapters)
     {
-        auto state = stateWith(adapters);
+        auto state = makeState(adapters);
         state.set_endpoint_id("e-1");
-        state.set_born(born);
+        state.set_born(startTimeMs);
         return state;
     }
-    void tell(const wire::DirectState &state)
+    void applyState(const wire::DirectState &state)
     {
         calls_.applyState("10.0.1.1:80", state, now_);
     }
 };
 
-// An engine crashes and starts again under its id. The store says so first. Until the sidecar has looked, callers must
-// not be sent there for an adapter that only the process before had: they would be refused, one after the other.
+// Guards against calls sent to a restarted engine for an adapter that only its previous process held.
 TEST_F(Restarts, WhatTheProcessBeforeHeldIsForgotten)
 {
-    calls_.applyEndpoint(recordOf(firstBirth), now_);
-    tell(stateOf(firstBirth, {"a1"}));
-    EXPECT_TRUE(calls_.applyEndpoint(recordOf(secondBirth), now_));
-    arrive("/s/x", "a1");
-    EXPECT_TRUE(take<SendCall>().empty());
-    tell(stateOf(firstBirth, {"a1"})); // was on its way when the engine ended
-    EXPECT_TRUE(take<SendCall>().empty());
-    tell(stateOf(secondBirth, {"a1"}));
-    EXPECT_EQ(sent().endpointId, "e-1");
+    calls_.applyEndpoint(recordOf(firstStartMs), now_);
+    applyState(stateOf(firstStartMs, {"a1"}));
+    EXPECT_TRUE(calls_.applyEndpoint(recordOf(secondStartMs), now_));
+    startCall("/s/x", "a1");
+    EXPECT_TRUE(takeActions<SendCall>().empty());
+    applyState(stateOf(firstStartMs, {"a1"})); // in transit when the engine terminated
+    EXPECT_TRUE(takeActions<SendCall>().empty());
+    applyState(stateOf(secondStartMs, {"a1"}));
+    EXPECT_EQ(takeSentCall().endpointId, "e-1");
 }
 
-// The sidecar sees the new process a second before the store does. Its word counts, and a record of the process before
-// that comes later, as the store lags, brings nothing back.
-TEST_F(Restarts, TheSidecarsWordOfARestartCounts)
+// Guards against ignoring a restart reported by the sidecar, and against an outdated record that reverts it.
+TEST_F(Restarts, AppliesRestartReportedByTheSidecar)
 {
-    calls_.applyEndpoint(recordOf(firstBirth), now_);
-    tell(stateOf(firstBirth, {"a1"}));
-    tell(stateOf(secondBirth, {}));
-    auto late = recordOf(firstBirth);
+    calls_.applyEndpoint(recordOf(firstStartMs), now_);
+    applyState(stateOf(firstStartMs, {"a1"}));
+    applyState(stateOf(secondStartMs, {}));
+    auto late = recordOf(firstStartMs);
     late.models = {modelName};
     late.adapters = {{modelName, "a1", 1}};
     EXPECT_FALSE(calls_.applyEndpoint(late, now_));
-    arrive("/s/x", "a1");
-    EXPECT_TRUE(take<SendCall>().empty());
+    startCall("/s/x", "a1");
+    EXPECT_TRUE(takeActions<SendCall>().empty());
 }
 
-// Calls that ran on the process before end after the new one has begun, each with a broken connection. Counted against
-// the new process they would make callers avoid it for seconds, and let its work look negative.
+// Guards against counting broken calls of the previous process against the new one.
 TEST_F(Restarts, EndsOfCallsBeforeDoNotCountForTheNewProcess)
 {
-    calls_.applyEndpoint(recordOf(firstBirth), now_);
-    calls_.applyEndpoint(recordOf(firstBirth, "e-2", "10.0.1.2:80"), now_);
-    tell(stateOf(firstBirth, {"a1"}));
+    calls_.applyEndpoint(recordOf(firstStartMs), now_);
+    calls_.applyEndpoint(recordOf(firstStartMs, "e-2", "10.0.1.2:80"), now_);
+    applyState(stateOf(firstStartMs, {"a1"}));
     std::vector<SendCall> before;
     for (int i = 0; i < 4; ++i) {
-        arrive("/s/x", "a1");
-        before.push_back(sent());
+        startCall("/s/x", "a1");
+        before.push_back(takeSentCall());
     }
-    tell(stateOf(secondBirth, {"a1"}));
+    applyState(stateOf(secondStartMs, {"a1"}));
     for (const auto &send : before) {
         EXPECT_EQ(send.endpointId, "e-1");
-        end(send, AttemptEnd::Broken);
+        endAttempt(send, AttemptEnd::Broken);
     }
-    arrive("/s/x", "a1");
-    EXPECT_EQ(sent().endpointId, "e-1");
+    startCall("/s/x", "a1");
+    EXPECT_EQ(takeSentCall().endpointId, "e-1");
 }
 
-// A call waits for its adapter at an engine that starts again. Its load went with the process: the call is thought over
-// at once and not when its patience is nearly over.
-TEST_F(Restarts, CallsThatWaitThereAreThoughtOver)
+// Guards against calls that keep waiting for a load that was lost with the previous process.
+TEST_F(Restarts, WaitingCallsArePlacedAgain)
 {
-    calls_.applyEndpoint(recordOf(firstBirth), now_);
-    tell(stateOf(firstBirth, {}));
-    arrive("/s/x", "a1");
-    calls_.applyEndpoint(recordOf(firstBirth, "e-2", "10.0.1.2:80"), now_);
-    calls_.applyState("10.0.1.2:80", stateWith({"a1"}), now_);
-    EXPECT_TRUE(take<SendCall>().empty()) << "nothing has happened to the engine it waits at";
-    calls_.applyEndpoint(recordOf(secondBirth), now_);
-    EXPECT_EQ(sent().endpointId, "e-2");
+    calls_.applyEndpoint(recordOf(firstStartMs), now_);
+    applyState(stateOf(firstStartMs, {}));
+    startCall("/s/x", "a1");
+    calls_.applyEndpoint(recordOf(firstStartMs, "e-2", "10.0.1.2:80"), now_);
+    calls_.applyState("10.0.1.2:80", makeState({"a1"}), now_);
+    EXPECT_TRUE(takeActions<SendCall>().empty()) << "nothing has happened to the engine it waits at";
+    calls_.applyEndpoint(recordOf(secondStartMs), now_);
+    EXPECT_EQ(takeSentCall().endpointId, "e-2");
 }
 
-// Connections that were kept for later calls lead to the process that is over. A call sent on one of them would be lost
-// with it, and may not be repeated.
+// Guards against sending a call on an idle connection to the terminated process.
 TEST_F(Restarts, KeptConnectionsAreDropped)
 {
-    calls_.applyEndpoint(recordOf(firstBirth), now_);
-    EXPECT_TRUE(take<DropConnections>().empty());
-    calls_.applyEndpoint(recordOf(secondBirth), now_);
-    const auto drops = take<DropConnections>();
+    calls_.applyEndpoint(recordOf(firstStartMs), now_);
+    EXPECT_TRUE(takeActions<DropConnections>().empty());
+    calls_.applyEndpoint(recordOf(secondStartMs), now_);
+    const auto drops = takeActions<DropConnections>();
     ASSERT_EQ(drops.size(), 1U);
     EXPECT_EQ(drops.front().address, "10.0.1.1:80");
 }
 
-// Another program writes a record of a service that nobody has configured, with an engine's address. Taken as a younger
-// process at that address it would hide the engine, and its callers would be refused for want of endpoints.
+// Guards against a record of an unconfigured service that hides the engine at the same address.
 TEST_F(Restarts, ARecordOfAnUnknownServiceHidesNoEndpoint)
 {
-    calls_.applyEndpoint(recordOf(firstBirth), now_);
-    tell(stateOf(firstBirth, {"a1"}));
-    auto foreign = endpointOf("x-1", "nobody's", "10.0.1.1:80");
+    calls_.applyEndpoint(recordOf(firstStartMs), now_);
+    applyState(stateOf(firstStartMs, {"a1"}));
+    auto foreign = makeEndpoint("x-1", "nobody's", "10.0.1.1:80");
     foreign.created = 1000;
-    foreign.born = secondBirth;
+    foreign.born = secondStartMs;
     calls_.applyEndpoint(foreign, now_);
-    arrive("/s/x", "a1");
-    EXPECT_EQ(sent().endpointId, "e-1");
-    tell(stateOf(firstBirth, {"a1", "a2"}));
-    arrive("/s/x", "a2");
-    EXPECT_EQ(sent().endpointId, "e-1") << "the sidecar at this address still speaks for the engine";
+    startCall("/s/x", "a1");
+    EXPECT_EQ(takeSentCall().endpointId, "e-1");
+    applyState(stateOf(firstStartMs, {"a1", "a2"}));
+    startCall("/s/x", "a2");
+    EXPECT_EQ(takeSentCall().endpointId, "e-1") << "the sidecar at this address still speaks for the engine";
 }
 
-// Guards against calls to the endpoint before at an address: after a restore of the store the record of the present one
-// is created under a lower revision.
+// Guards against calls to a replaced endpoint after a store restore, which creates the new record under a lower
+// revision.
 TEST_F(Restarts, OfTwoRecordsOfOneAddressTheOneOfTheLaterEraCounts)
 {
-    auto before = endpointOf("e-1", engineService, addressOne);
+    auto before = makeEndpoint("e-1", engineService, addressOne);
     before.era = 1;
     before.created = 100;
-    auto present = endpointOf("e-2", engineService, addressOne);
+    auto present = makeEndpoint("e-2", engineService, addressOne);
     present.era = 2;
     present.created = 95;
     calls_.applyEndpoint(before, now_);
     calls_.applyEndpoint(present, now_);
-    calls_.applyState(addressOne, stateWith({"a1"}), now_);
-    arrive("/s/x", "a1");
-    EXPECT_EQ(sent().endpointId, "e-2");
+    calls_.applyState(addressOne, makeState({"a1"}), now_);
+    startCall("/s/x", "a1");
+    EXPECT_EQ(takeSentCall().endpointId, "e-2");
 }
 
 } // namespace anvilscale::test
