--- a/include/anvilscale/platform.h
+++ b/include/anvilscale/platform.h
@@ -1,6 +1,4 @@
-// Platform library: the key-value service and the list of VMs. The types here are what decisions speak; the
-// adapters (src/platform, one file per protocol) turn them into requests. The first key-value adapter speaks a
-// subset of the etcd v3 JSON gateway; the users' own protocol plugs in as another type that meets KeyValueService.
+// Platform library: interfaces to the key-value service and to the list of VMs, and their HTTP adapters.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -14,13 +12,13 @@
 namespace anvilscale {
 
 enum class KvOp : std::uint8_t {
-    Range, ///< read `key` or [key, rangeEnd)
-    Txn, ///< if all compares hold: all puts and deletes, at once
+    Range, ///< reads `key` or [key, rangeEnd)
+    Txn, ///< applies all puts and deletes atomically if all compares hold
     LeaseGrant,
     LeaseKeepAlive,
     LeaseRevoke,
-    Watch, ///< events of [key, rangeEnd) from `startRevision` on, until cancelled
-    WatchCancel, ///< `id` names the watch
+    Watch, ///< reports events of [key, rangeEnd) from `startRevision` on until cancelled
+    WatchCancel, ///< cancels the watch `id`
     Count
 };
 template<>
@@ -32,11 +30,11 @@
 
 enum class KvStatus : std::uint8_t {
     Ok,
-    Conflict, ///< a compare did not hold; `entries` hold the compared keys as they are
-    LeaseGone, ///< the service does not know the lease
-    Compacted, ///< a watch's start revision is no longer kept: read in full
-    Unavailable, ///< certain: it had no effect (not sent, over budget, or refused)
-    Unknown, ///< sent, no answer: it may have taken effect, or may yet
+    Conflict, ///< a compare did not hold; `entries` has the current state of the compared keys
+    LeaseGone, ///< the lease does not exist
+    Compacted, ///< the start revision of the watch was compacted: a full read is required
+    Unavailable, ///< the request certainly had no effect: not sent, over budget, or refused
+    Unknown, ///< sent without a reply: it may have taken effect or may still do so
     Count
 };
 template<>
@@ -46,7 +44,7 @@
                                                                              "compacted", "unavailable", "unknown"};
 };
 
-/// Holds if the key's modification revision is `modRevision`; 0 means that the key must not exist.
+/// Holds if the key's modification revision equals `modRevision`; 0 requires that the key does not exist.
 struct KvCompare
 {
     std::string key;
@@ -56,7 +54,7 @@
 struct KvPut
 {
     std::string key;
-    std::string value; ///< at most a megabyte
+    std::string value; ///< at most one megabyte
     std::uint64_t lease = 0;
 };
 
@@ -65,7 +63,7 @@
     KvHandle id;
     KvOp op = KvOp::Range;
     std::string key;
-    std::string rangeEnd; ///< empty: `key` alone
+    std::string rangeEnd; ///< only `key` if empty
     std::vector<KvCompare> compares;
     std::vector<KvPut> puts;
     std::vector<std::string> deletes;
@@ -80,10 +78,10 @@
     std::string value;
     std::int64_t modRevision = 0;
     std::uint64_t lease = 0;
-    bool deleted = false; ///< in watch events only
+    bool deleted = false; ///< set in watch events only
 };
 
-/// One answer for each request, in any order; a watch gets further ones with `event` set.
+/// Reply to a request. Each request gets one, in any order; a watch gets further ones with `isEvent` set.
 struct KvReply
 {
     KvHandle id;
@@ -95,8 +93,8 @@
     Duration ttl{};
 };
 
-/// The key-value service as the daemon uses it. `submit` returns at once; replies come through the callback given
-/// at construction, from any thread.
+/// Interface of a key-value service. submit() returns at once; replies arrive through the callback given at
+/// construction, on any thread. Other protocols plug in as types that satisfy this concept.
 template<class T>
 concept KeyValueService = requires(T service, KvRequest request)
 {
@@ -130,7 +128,7 @@
     static constexpr std::array<std::string_view, enumCount<VmRole>> table{"entry", "sidecar"};
 };
 
-/// One line of the platform's lagging list of VMs.
+/// One VM of the platform's list, which may lag behind the actual state.
 struct VmInfo
 {
     std::string name;
@@ -152,14 +150,14 @@
         } -> std::same_as<void>;
 };
 
-/// What the key-value adapter did, for the metrics.
+/// Counters of a key-value adapter, exported as metrics.
 struct KvStats
 {
-    std::array<Counters<KvStatus>, enumCount<KvOp>> replies; ///< answers given, by operation and status
-    Counters<KvOp> calls; ///< calls made to the service, each attempt and each watch connection as one
-    std::uint64_t overBudget = 0; ///< requests turned away by the call budget
-    std::uint64_t queueFull = 0; ///< requests turned away by the bounded queue
-    std::uint64_t failovers = 0; ///< attempts that went on to another endpoint
+    std::array<Counters<KvStatus>, enumCount<KvOp>> replies; ///< by operation and status
+    Counters<KvOp> calls; ///< calls to the service; each attempt and each watch connection counts as one
+    std::uint64_t overBudget = 0; ///< requests refused by the call budget
+    std::uint64_t queueFull = 0; ///< requests refused because a queue was full
+    std::uint64_t failovers = 0; ///< attempts repeated at another endpoint
     std::uint64_t watchReconnects = 0;
 
     std::uint64_t of(KvOp op, KvStatus status) const
@@ -168,17 +166,17 @@
     }
 };
 
-/// The key-value service through the etcd v3 JSON gateway (HTTP). Each request is answered once, within twice the
-/// timeout; a watch that once stood is taken up again by itself after a lost connection, from the last revision seen.
-/// Callbacks come from the adapter's own threads, and none after shutdown() has returned.
+/// Key-value service over the etcd v3 JSON gateway (HTTP). Each request is answered once, within twice the timeout.
+/// An established watch reconnects after a lost connection and resumes from the last revision seen. Callbacks run on
+/// the adapter's own threads; none runs after shutdown() has returned.
 class EtcdGateway
 {
 public:
     struct Init
     {
-        std::vector<std::string> endpoints; ///< "http://IP:PORT"; one that fails is followed by the next
-        Duration timeout = Seconds(2); ///< of one request, from submit
-        double callBudget = 50.0; ///< calls a second; a second's worth may be saved up
+        std::vector<std::string> endpoints; ///< "http://IP:PORT"; after a failure the next one is used
+        Duration timeout = Seconds(2); ///< of one request, measured from submit()
+        double callBudget = 50.0; ///< calls per second; unused budget of up to one second is kept for bursts
     };
     using Stats = KvStats;
 
@@ -187,9 +185,9 @@
     EtcdGateway(const EtcdGateway &) = delete;
     EtcdGateway &operator=(const EtcdGateway &) = delete;
 
-    /// Any thread. Returns at once.
+    /// Returns at once. Callable from any thread.
     void submit(KvRequest request);
-    /// Ends all connections and threads. Requests without an answer get none.
+    /// Closes all connections and joins all threads. Pending requests get no reply.
     void shutdown();
     Stats stats() const;
 
@@ -199,10 +197,10 @@
 };
 
 enum class VmListError : std::uint8_t {
-    Unreachable, ///< no connection, or none of the answer came in time
-    BadStatus, ///< the platform answered with something other than 200
+    Unreachable, ///< no connection, or no complete response in time
+    BadStatus, ///< status other than 200
     TooLarge,
-    BadForm, ///< not JSON, or not the form of a list of VMs
+    BadForm, ///< not JSON, or not a list of VMs
     Count
 };
 template<>
@@ -212,11 +210,11 @@
                                                                                 "too_large", "bad_form"};
 };
 
-/// Reads the form {"vms":[{"name","role","state","dataCentre","region","address"}]}. Unknown fields are passed over:
-/// the platform may add some. A list with one bad line is refused whole, so that no VM seems to be gone.
+/// Parses {"vms":[{"name","role","state","dataCentre","region","address"}]}. Ignores unknown fields. One invalid
+/// element rejects the whole list, so that no VM seems to be removed.
 tl::expected<std::vector<VmInfo>, VmListError> parseVmList(const std::string &json);
 
-/// The platform's list of VMs, read by HTTP GET on an interval and on request. The callback comes from its own thread.
+/// Polls the platform's list of VMs by HTTP GET, at an interval and on request. The callback runs on its own thread.
 class HttpVmList
 {
 public:
@@ -233,7 +231,7 @@
     HttpVmList(const HttpVmList &) = delete;
     HttpVmList &operator=(const HttpVmList &) = delete;
 
-    /// Any thread. Reads at once instead of at the next interval.
+    /// Reads the list at once instead of after the interval. Callable from any thread.
     void requestRefresh();
     void shutdown();
 
@@ -242,7 +240,7 @@
     std::unique_ptr<Impl> impl_;
 };
 
-/// One reading of the list, for tools.
+/// Reads the list once, for command-line tools.
 HttpVmList::Result readVmList(const std::string &url, Duration timeout);
 
 } // namespace anvilscale
--- a/src/platform/call_budget.h
+++ b/src/platform/call_budget.h
@@ -1,5 +1,5 @@
-// Token bucket over the calls to the key-value service. The service counts each call of the whole fleet; a process
-// that loops must not take the others' share.
+// Token bucket for calls to the key-value service. Prevents a looping process from using up the call rate that all
+// processes share.
 #pragma once
 
 #include "anvilscale/platform.h"
@@ -11,21 +11,21 @@
 class CallBudget
 {
 public:
-    explicit CallBudget(double rate)
-        : rate_(rate)
-        , size_(std::max(rate, minimumSize))
-        , tokens_(size_)
+    explicit CallBudget(double callsPerSecond)
+        : callsPerSecond_(callsPerSecond)
+        , capacity_(std::max(callsPerSecond, minCapacity))
+        , tokens_(capacity_)
     {
     }
 
-    /// Takes one call at `now`, if there is one left. A fifth is kept for leases: if reads could spend it, a burst of
-    /// them would let the process's own leases lapse.
-    bool take(KvOp op, TimePoint now)
+    /// Consumes one call at `now`; false if none is left. A fifth of the bucket is reserved for leases, so that a
+    /// burst of reads cannot let the process's own leases expire.
+    bool tryConsume(KvOp op, TimePoint now)
     {
         refill(now);
-        const bool lease = op == KvOp::LeaseKeepAlive || op == KvOp::LeaseRevoke;
-        const double floor = lease ? 0.0 : size_ * leaseShare;
-        if (tokens_ - 1.0 < floor) {
+        const bool isLease = op == KvOp::LeaseKeepAlive || op == KvOp::LeaseRevoke;
+        const double minRemaining = isLease ? 0.0 : capacity_ * reservedLeaseShare;
+        if (tokens_ - 1.0 < minRemaining) {
             return false;
         }
         tokens_ -= 1.0;
@@ -33,22 +33,22 @@
     }
 
 private:
-    static constexpr double minimumSize = 5.0;
-    static constexpr double leaseShare = 0.2;
+    static constexpr double minCapacity = 5.0;
+    static constexpr double reservedLeaseShare = 0.2;
 
     void refill(TimePoint now)
     {
-        const double seconds = std::chrono::duration<double>(now - last_).count();
-        if (seconds > 0.0) {
-            tokens_ = std::min(size_, tokens_ + seconds * rate_);
-            last_ = now;
+        const double elapsedSeconds = std::chrono::duration<double>(now - lastRefillAt_).count();
+        if (elapsedSeconds > 0.0) {
+            tokens_ = std::min(capacity_, tokens_ + elapsedSeconds * callsPerSecond_);
+            lastRefillAt_ = now;
         }
     }
 
-    double rate_;
-    double size_;
-    double tokens_; // invariant: 0 <= tokens_ <= size_
-    TimePoint last_{};
+    double callsPerSecond_;
+    double capacity_;
+    double tokens_; // invariant: 0 <= tokens_ <= capacity_
+    TimePoint lastRefillAt_{};
 };
 
 } // namespace anvilscale
--- a/src/platform/etcd_codec.cpp
+++ b/src/platform/etcd_codec.cpp
@@ -1,4 +1,4 @@
-// Requests and answers of the etcd v3 JSON gateway.
+// Encoding of requests and parsing of replies of the etcd v3 JSON gateway.
 #include "etcd_codec.h"
 
 #include <Poco/Base64Decoder.h>
@@ -18,7 +18,7 @@
 using Poco::JSON::Array;
 using Poco::JSON::Object;
 
-// Codes of gRPC, as the gateway puts them into its errors.
+// gRPC status codes in the gateway's error bodies.
 constexpr int grpcNotFound = 5;
 constexpr int grpcResourceExhausted = 8;
 constexpr int httpOk = 200;
@@ -26,7 +26,7 @@
 constexpr int httpTooManyRequests = 429;
 constexpr std::int64_t microsecondsPerSecond = 1'000'000;
 
-std::string encode(const std::string &bytes)
+std::string encodeBase64(const std::string &bytes)
 {
     std::ostringstream out;
     Poco::Base64Encoder encoder(out);
@@ -36,37 +36,37 @@
     return out.str();
 }
 
-std::string decode(const std::string &text)
+std::string decodeBase64(const std::string &text)
 {
     std::istringstream in(text);
     Poco::Base64Decoder decoder(in);
     return {std::istreambuf_iterator<char>(decoder), std::istreambuf_iterator<char>()};
 }
 
-// The gateway leaves out fields that are zero.
-std::int64_t number(const Object &object, const std::string &name)
+// The gateway omits fields that are zero.
+std::int64_t readNumber(const Object &object, const std::string &name)
 {
     return object.has(name) ? object.get(name).convert<Poco::Int64>() : 0;
 }
 
-std::string text(const Object &object, const std::string &name)
+std::string readText(const Object &object, const std::string &name)
 {
     return object.has(name) ? object.get(name).convert<std::string>() : std::string();
 }
 
-bool flag(const Object &object, const std::string &name)
+bool readFlag(const Object &object, const std::string &name)
 {
     return object.has(name) && object.get(name).convert<bool>();
 }
 
-std::string print(const Object &object)
+std::string toJson(const Object &object)
 {
     std::ostringstream out;
     object.stringify(out);
     return out.str();
 }
 
-Object::Ptr parse(const std::string &body)
+Object::Ptr parseObject(const std::string &body)
 {
     Poco::JSON::Parser parser;
     return parser.parse(body).extract<Object::Ptr>();
@@ -75,10 +75,10 @@
 KvEntry readEntry(const Object &kv)
 {
     KvEntry entry;
-    entry.key = decode(text(kv, "key"));
-    entry.value = decode(text(kv, "value"));
-    entry.modRevision = number(kv, "mod_revision");
-    entry.lease = static_cast<std::uint64_t>(number(kv, "lease"));
+    entry.key = decodeBase64(readText(kv, "key"));
+    entry.value = decodeBase64(readText(kv, "value"));
+    entry.modRevision = readNumber(kv, "mod_revision");
+    entry.lease = static_cast<std::uint64_t>(readNumber(kv, "lease"));
     return entry;
 }
 
@@ -96,61 +96,61 @@
 std::int64_t storeRevision(const Object &answer)
 {
     const auto header = answer.getObject("header");
-    return header.isNull() ? 0 : number(*header, "revision");
+    return header.isNull() ? 0 : readNumber(*header, "revision");
 }
 
-Object::Ptr rangeBody(const std::string &key, const std::string &rangeEnd)
+Object::Ptr makeRangeBody(const std::string &key, const std::string &rangeEnd)
 {
     Object::Ptr body = new Object;
-    body->set("key", encode(key));
+    body->set("key", encodeBase64(key));
     if (!rangeEnd.empty()) {
-        body->set("range_end", encode(rangeEnd));
+        body->set("range_end", encodeBase64(rangeEnd));
     }
     return body;
 }
 
-Object::Ptr wrap(const std::string &name, const Object::Ptr &inner)
+Object::Ptr wrapObject(const std::string &name, const Object::Ptr &inner)
 {
     Object::Ptr outer = new Object;
     outer->set(name, inner);
     return outer;
 }
 
-Object::Ptr compareBody(const KvCompare &compare)
+Object::Ptr makeCompareBody(const KvCompare &compare)
 {
     Object::Ptr body = new Object;
-    body->set("key", encode(compare.key));
+    body->set("key", encodeBase64(compare.key));
     body->set("target", "MOD");
     body->set("result", "EQUAL");
     body->set("mod_revision", std::to_string(compare.modRevision));
     return body;
 }
 
-Object::Ptr putBody(const KvPut &put)
+Object::Ptr makePutBody(const KvPut &put)
 {
     Object::Ptr body = new Object;
-    body->set("key", encode(put.key));
-    body->set("value", encode(put.value));
+    body->set("key", encodeBase64(put.key));
+    body->set("value", encodeBase64(put.value));
     if (put.lease != 0) {
         body->set("lease", std::to_string(put.lease));
     }
     return body;
 }
 
-Object::Ptr txnBody(const KvRequest &request)
+Object::Ptr makeTxnBody(const KvRequest &request)
 {
     Array::Ptr compares = new Array;
     Array::Ptr success = new Array;
     Array::Ptr failure = new Array;
     for (const auto &compare : request.compares) {
-        compares->add(compareBody(compare));
-        failure->add(wrap("request_range", rangeBody(compare.key, {})));
+        compares->add(makeCompareBody(compare));
+        failure->add(wrapObject("request_range", makeRangeBody(compare.key, {})));
     }
     for (const auto &put : request.puts) {
-        success->add(wrap("request_put", putBody(put)));
+        success->add(wrapObject("request_put", makePutBody(put)));
     }
     for (const auto &key : request.deletes) {
-        success->add(wrap("request_delete_range", rangeBody(key, {})));
+        success->add(wrapObject("request_delete_range", makeRangeBody(key, {})));
     }
     Object::Ptr body = new Object;
     body->set("compare", compares);
@@ -161,7 +161,7 @@
 
 void readTxn(const Object &answer, KvReply &reply)
 {
-    reply.status = flag(answer, "succeeded") ? KvStatus::Ok : KvStatus::Conflict;
+    reply.status = readFlag(answer, "succeeded") ? KvStatus::Ok : KvStatus::Conflict;
     const auto responses = answer.getArray("responses");
     if (responses.isNull()) {
         return;
@@ -176,20 +176,20 @@
 
 void readLease(const Object &answer, KvReply &reply)
 {
-    const auto result = answer.getObject("result"); // keep-alive is a stream of results, grant a plain answer
+    const auto result = answer.getObject("result"); // keep-alive returns a stream of results, grant a plain object
     const Object &lease = result.isNull() ? answer : *result;
-    reply.lease = static_cast<std::uint64_t>(number(lease, "ID"));
-    reply.ttl = Seconds(number(lease, "TTL"));
-    const bool gone = reply.ttl <= Duration::zero(); // so the service says that it does not know the lease
-    reply.status = gone ? KvStatus::LeaseGone : KvStatus::Ok;
+    reply.lease = static_cast<std::uint64_t>(readNumber(lease, "ID"));
+    reply.ttl = Seconds(readNumber(lease, "TTL"));
+    const bool isExpired = reply.ttl <= Duration::zero(); // how the service reports an unknown lease
+    reply.status = isExpired ? KvStatus::LeaseGone : KvStatus::Ok;
     if (!result.isNull()) {
         reply.storeRevision = storeRevision(*result);
     }
 }
 
-// Only a refusal made before the request was taken in is certain. Every other error of a write may come after it
-// took effect (for instance a time-out inside the service), and calling it Unavailable would lose that write.
-KvStatus errorStatus(KvOp op, int httpStatus, int code)
+// Only a rejection before the request was accepted is certain. Any other error of a write may occur after it took
+// effect (such as a timeout inside the service), and Unavailable would lose that write.
+KvStatus toErrorStatus(KvOp op, int httpStatus, int code)
 {
     if (httpStatus == httpTooManyRequests || code == grpcResourceExhausted) {
         return KvStatus::Unavailable;
@@ -200,10 +200,10 @@
     return op == KvOp::Range ? KvStatus::Unavailable : KvStatus::Unknown;
 }
 
-int errorCode(const std::string &body)
+int readErrorCode(const std::string &body)
 {
     try {
-        return static_cast<int>(number(*parse(body), "code"));
+        return static_cast<int>(readNumber(*parseObject(body), "code"));
     } catch (const Poco::Exception &) {
         return 0;
     }
@@ -251,26 +251,26 @@
 {
     switch (request.op) {
     case KvOp::Range:
-        return print(*rangeBody(request.key, request.rangeEnd));
+        return toJson(*makeRangeBody(request.key, request.rangeEnd));
     case KvOp::Txn:
-        return print(*txnBody(request));
+        return toJson(*makeTxnBody(request));
     case KvOp::LeaseGrant: {
         Object body;
         const auto seconds = (request.ttl.count() + microsecondsPerSecond - 1) / microsecondsPerSecond;
         body.set("TTL", std::to_string(seconds));
-        return print(body);
+        return toJson(body);
     }
     case KvOp::LeaseKeepAlive:
     case KvOp::LeaseRevoke: {
         Object body;
         body.set("ID", std::to_string(request.lease));
-        return print(body);
+        return toJson(body);
     }
     default: {
-        auto create = rangeBody(request.key, request.rangeEnd);
+        auto create = makeRangeBody(request.key, request.rangeEnd);
         create->set("start_revision", std::to_string(startRevision));
         create->set("progress_notify", true);
-        return print(*wrap("create_request", create));
+        return toJson(*wrapObject("create_request", create));
     }
     }
 }
@@ -280,13 +280,13 @@
     KvReply reply;
     reply.id = request.id;
     if (httpStatus != httpOk) {
-        reply.status = errorStatus(request.op, httpStatus, errorCode(body));
+        reply.status = toErrorStatus(request.op, httpStatus, readErrorCode(body));
         return reply;
     }
     try {
-        readAnswer(request, *parse(body), reply);
+        readAnswer(request, *parseObject(body), reply);
     } catch (const Poco::Exception &) {
-        reply = KvReply{.id = request.id, .status = errorStatus(request.op, httpStatus, 0)};
+        reply = KvReply{.id = request.id, .status = toErrorStatus(request.op, httpStatus, 0)};
     }
     return reply;
 }
@@ -295,22 +295,22 @@
 {
     EtcdWatchMessage message;
     try {
-        const auto result = parse(line)->getObject("result");
+        const auto result = parseObject(line)->getObject("result");
         if (result.isNull()) {
             return message;
         }
         message.revision = storeRevision(*result);
-        message.created = flag(*result, "created");
-        message.cancelled = flag(*result, "canceled");
-        message.compacted = number(*result, "compact_revision") > 0;
+        message.isCreated = readFlag(*result, "created");
+        message.isCancelled = readFlag(*result, "canceled");
+        message.isCompacted = readNumber(*result, "compact_revision") > 0;
         const auto events = result->getArray("events");
         for (std::size_t i = 0; !events.isNull() && i < events->size(); ++i) {
             const auto event = events->getObject(static_cast<unsigned>(i));
             KvEntry entry = readEntry(*event->getObject("kv"));
-            entry.deleted = text(*event, "type") == "DELETE";
+            entry.deleted = readText(*event, "type") == "DELETE";
             message.entries.push_back(std::move(entry));
         }
-        message.valid = true;
+        message.isValid = true;
     } catch (const Poco::Exception &) {
         return {};
     }
--- a/src/platform/etcd_codec.h
+++ b/src/platform/etcd_codec.h
@@ -1,4 +1,4 @@
-// The JSON forms of the etcd v3 gateway: keys and values in base64, 64-bit numbers as strings.
+// JSON messages of the etcd v3 gateway: keys and values in base64, 64-bit numbers as strings.
 #pragma once
 
 #include "anvilscale/platform.h"
@@ -7,23 +7,23 @@
 
 namespace anvilscale {
 
-/// Path of the operation under the gateway's root.
+/// URL path of the operation.
 std::string etcdPath(KvOp op);
-/// Body of the request. `startRevision` is used by watches only.
+/// Request body. `startRevision` is used by watches only.
 std::string etcdBody(const KvRequest &request, std::int64_t startRevision);
-/// Reads the answer to a request other than a watch. What cannot be understood is Unknown.
+/// Parses the reply to a request other than a watch. A malformed reply is Unknown, or Unavailable for Range.
 KvReply parseEtcdAnswer(const KvRequest &request, int httpStatus, const std::string &body);
 
 struct EtcdWatchMessage
 {
-    bool valid = false;
-    bool created = false;
-    bool cancelled = false;
-    bool compacted = false;
+    bool isValid = false;
+    bool isCreated = false;
+    bool isCancelled = false;
+    bool isCompacted = false;
     std::int64_t revision = 0; ///< of the store
     std::vector<KvEntry> entries;
 };
-/// Reads one line of a watch's answer.
+/// Parses one line of the response to a watch.
 EtcdWatchMessage parseEtcdWatch(const std::string &line);
 
 } // namespace anvilscale
--- a/src/platform/etcd_gateway.cpp
+++ b/src/platform/etcd_gateway.cpp
@@ -1,4 +1,4 @@
-// The key-value adapter: hands requests to its lanes and keeps the watches.
+// Key-value adapter: dispatches requests to its lanes and owns the watches.
 #include "etcd_lane.h"
 #include "etcd_watch.h"
 
@@ -12,42 +12,42 @@
 static_assert(KeyValueService<EtcdGateway>);
 
 namespace {
-constexpr std::size_t leaseThreads = 1;
-constexpr std::size_t otherThreads = 2;
-// A process needs a watch for the configuration and one for each slot table; each has a thread.
-constexpr std::size_t watchLimit = 16;
+constexpr std::size_t leaseThreadCount = 1;
+constexpr std::size_t requestThreadCount = 2;
+// Each watch has a thread. A process needs one for the configuration and one for each slot table.
+constexpr std::size_t maxWatches = 16;
 } // namespace
 
 struct EtcdGateway::Impl
 {
     Impl(Init init, std::function<void(KvReply)> reply)
         : shared(std::move(init), std::move(reply))
-        , leases(shared, leaseThreads)
-        , others(shared, otherThreads)
+        , leaseLane(shared, leaseThreadCount)
+        , requestLane(shared, requestThreadCount)
     {
     }
 
-    void refuse(const KvRequest &request)
+    void rejectRequest(const KvRequest &request)
     {
         shared.count(&KvStats::queueFull);
-        shared.answer(request.op, {.id = request.id, .status = KvStatus::Unavailable});
+        shared.sendReply(request.op, {.id = request.id, .status = KvStatus::Unavailable});
     }
 
-    void watch(KvRequest request)
+    void addWatch(KvRequest request)
     {
         {
             const std::scoped_lock lock(mutex);
-            watches.remove_if([](const auto &old) { return old->finished(); });
-            if (watches.size() < watchLimit && !shared.stopping()) {
+            watches.remove_if([](const auto &watch) { return watch->isFinished(); });
+            if (watches.size() < maxWatches && !shared.isStopping()) {
                 watches.push_back(std::make_unique<EtcdWatch>(shared, std::move(request)));
                 return;
             }
         }
-        refuse(request);
+        rejectRequest(request);
     }
 
-    // The thread is not waited for: submit() must return at once, and it may be called from the watch's own callback.
-    void cancel(const KvRequest &request)
+    // Does not join the thread: submit() must return at once and may be called from the watch's own callback.
+    void cancelWatch(const KvRequest &request)
     {
         {
             const std::scoped_lock lock(mutex);
@@ -57,12 +57,12 @@
                 }
             }
         }
-        shared.answer(request.op, {.id = request.id});
+        shared.sendReply(request.op, {.id = request.id});
     }
 
     GatewayShared shared;
-    EtcdLane leases;
-    EtcdLane others;
+    EtcdLane leaseLane;
+    EtcdLane requestLane;
     std::mutex mutex; // guards watches
     std::list<std::unique_ptr<EtcdWatch>> watches;
 };
@@ -81,18 +81,18 @@
 {
     switch (request.op) {
     case KvOp::Watch:
-        impl_->watch(std::move(request));
+        impl_->addWatch(std::move(request));
         return;
     case KvOp::WatchCancel:
-        impl_->cancel(request);
+        impl_->cancelWatch(request);
         return;
     default:
         break;
     }
-    const bool lease = request.op == KvOp::LeaseKeepAlive || request.op == KvOp::LeaseRevoke;
-    auto &lane = lease ? impl_->leases : impl_->others;
+    const bool isLease = request.op == KvOp::LeaseKeepAlive || request.op == KvOp::LeaseRevoke;
+    auto &lane = isLease ? impl_->leaseLane : impl_->requestLane;
     if (!lane.push(request)) {
-        impl_->refuse(request);
+        impl_->rejectRequest(request);
     }
 }
 
@@ -107,8 +107,8 @@
     for (auto &watch : watches) {
         watch->stop();
     }
-    impl_->leases.stop();
-    impl_->others.stop();
+    impl_->leaseLane.stop();
+    impl_->requestLane.stop();
 }
 
 EtcdGateway::Stats EtcdGateway::stats() const
--- a/src/platform/etcd_lane.cpp
+++ b/src/platform/etcd_lane.cpp
@@ -1,4 +1,4 @@
-// Requests with one answer: queue, threads, fail-over between endpoints.
+// Requests with a single reply: queue, threads and failover between endpoints.
 #include "etcd_lane.h"
 
 #include "etcd_codec.h"
@@ -6,29 +6,29 @@
 namespace anvilscale {
 
 namespace {
-constexpr std::size_t queueLimit = 1024;
-constexpr std::size_t answerLimit = 8U << 20;
+constexpr std::size_t maxQueuedRequests = 1024;
+constexpr std::size_t maxAnswerBytes = 8U << 20;
 
-bool repeatable(KvOp op)
+bool isRepeatable(KvOp op)
 {
     return op == KvOp::Range || op == KvOp::LeaseKeepAlive;
 }
 
-KvReply failed(const KvRequest &request, KvStatus status)
+KvReply failureReply(const KvRequest &request, KvStatus status)
 {
     return {.id = request.id, .status = status};
 }
 } // namespace
 
-EtcdLane::EtcdLane(GatewayShared &shared, std::size_t threads)
+EtcdLane::EtcdLane(GatewayShared &shared, std::size_t threadCount)
     : shared_(shared)
-    , connections_(threads)
+    , threadConnections_(threadCount)
 {
-    for (auto &connections : connections_) {
+    for (auto &connections : threadConnections_) {
         for (const auto &endpoint : shared_.init().endpoints) {
             connections.byEndpoint.push_back(std::make_unique<HttpConnection>(endpoint));
         }
-        threads_.emplace_back([this, &connections] { run(connections); });
+        threads_.emplace_back([this, &connections] { runThread(connections); });
     }
 }
 
@@ -40,7 +40,7 @@
 bool EtcdLane::push(KvRequest request)
 {
     const std::scoped_lock lock(mutex_);
-    if (queue_.size() >= queueLimit || stopped_) {
+    if (queue_.size() >= maxQueuedRequests || isStopped_) {
         return false;
     }
     queue_.push_back({std::move(request), HttpConnection::Clock::now() + shared_.init().timeout});
@@ -52,10 +52,10 @@
 {
     {
         const std::scoped_lock lock(mutex_);
-        stopped_ = true;
+        isStopped_ = true;
         wake_.notify_all();
     }
-    for (auto &connections : connections_) {
+    for (auto &connections : threadConnections_) {
         for (auto &connection : connections.byEndpoint) {
             connection->abort();
         }
@@ -67,57 +67,57 @@
     }
 }
 
-std::optional<EtcdLane::Waiting> EtcdLane::take()
+std::optional<EtcdLane::QueuedRequest> EtcdLane::takeRequest()
 {
     std::unique_lock lock(mutex_);
-    wake_.wait(lock, [this] { return stopped_ || !queue_.empty(); });
-    if (stopped_) {
+    wake_.wait(lock, [this] { return isStopped_ || !queue_.empty(); });
+    if (isStopped_) {
         return std::nullopt;
     }
-    Waiting next = std::move(queue_.front());
+    QueuedRequest next = std::move(queue_.front());
     queue_.pop_front();
     return next;
 }
 
-void EtcdLane::run(Connections &connections)
+void EtcdLane::runThread(EndpointConnections &connections)
 {
-    while (const auto waiting = take()) {
-        shared_.answer(waiting->request.op, perform(*waiting, connections));
+    while (const auto queued = takeRequest()) {
+        shared_.sendReply(queued->request.op, performRequest(*queued, connections));
     }
 }
 
-// A write goes on to the next endpoint only while nothing of it was sent. Once it may have been received, a second
-// sending could apply it twice or make its own first sending look like another writer's conflict.
-KvReply EtcdLane::perform(const Waiting &waiting, Connections &connections)
+// A write fails over only if none of it was sent. Once it may have been received, resending it could apply it twice,
+// or report its own first attempt as a conflict with another writer.
+KvReply EtcdLane::performRequest(const QueuedRequest &queued, EndpointConnections &connections)
 {
-    const KvRequest &request = waiting.request;
+    const KvRequest &request = queued.request;
     const std::string body = etcdBody(request, 0);
-    KvStatus worst = KvStatus::Unavailable;
-    for (std::size_t tried = 0; tried < connections.byEndpoint.size(); ++tried) {
-        if (HttpConnection::Clock::now() >= waiting.deadline || !shared_.takeCall(request.op)) {
-            return failed(request, worst);
+    KvStatus failureStatus = KvStatus::Unavailable;
+    for (std::size_t attempt = 0; attempt < connections.byEndpoint.size(); ++attempt) {
+        if (HttpConnection::Clock::now() >= queued.deadline || !shared_.tryTakeCall(request.op)) {
+            return failureReply(request, failureStatus);
         }
         auto &connection = *connections.byEndpoint[connections.current % connections.byEndpoint.size()];
-        const auto answer = connection.exchange("POST", etcdPath(request.op), body, waiting.deadline, answerLimit);
+        const auto answer = connection.exchange("POST", etcdPath(request.op), body, queued.deadline, maxAnswerBytes);
         if (answer) {
             KvReply reply = parseEtcdAnswer(request, answer->status, answer->body);
-            const bool settled = reply.status != KvStatus::Unavailable && reply.status != KvStatus::Unknown;
-            if (settled || !repeatable(request.op)) {
+            const bool isFinal = reply.status != KvStatus::Unavailable && reply.status != KvStatus::Unknown;
+            if (isFinal || !isRepeatable(request.op)) {
                 return reply;
             }
         } else if (answer.error() != ExchangeError::NotSent && request.op != KvOp::Range) {
-            worst = KvStatus::Unknown;
-            if (!repeatable(request.op)) {
+            failureStatus = KvStatus::Unknown;
+            if (!isRepeatable(request.op)) {
                 ++connections.current;
-                return failed(request, worst);
+                return failureReply(request, failureStatus);
             }
         }
         ++connections.current;
-        if (tried + 1 < connections.byEndpoint.size()) {
+        if (attempt + 1 < connections.byEndpoint.size()) {
             shared_.count(&KvStats::failovers);
         }
     }
-    return failed(request, worst);
+    return failureReply(request, failureStatus);
 }
 
 } // namespace anvilscale
--- a/src/platform/etcd_lane.h
+++ b/src/platform/etcd_lane.h
@@ -1,5 +1,5 @@
-// A bounded queue of requests with a few threads, each with its own kept connection. The gateway has one lane for
-// leases and one for all else: slow reads must not hold up a keep-alive, or the lease lapses while its holder is well.
+// A bounded queue of requests with a few threads that each have their own connections. Leases have a lane of their
+// own, so that slow reads cannot delay a keep-alive and let the lease of a healthy holder expire.
 #pragma once
 
 #include "gateway_shared.h"
@@ -13,35 +13,35 @@
 class EtcdLane
 {
 public:
-    EtcdLane(GatewayShared &shared, std::size_t threads);
+    EtcdLane(GatewayShared &shared, std::size_t threadCount);
     ~EtcdLane();
-    /// False if the queue is full.
+    /// Returns false if the queue is full or the lane is stopped.
     bool push(KvRequest request);
-    /// Ends the threads, also those that wait for an answer.
+    /// Joins the threads; aborts those that wait for a reply.
     void stop();
 
 private:
-    struct Waiting
+    struct QueuedRequest
     {
         KvRequest request;
         HttpConnection::Clock::time_point deadline;
     };
-    struct Connections
+    struct EndpointConnections
     {
         std::vector<std::unique_ptr<HttpConnection>> byEndpoint;
-        std::size_t current = 0; // the endpoint that answered last
+        std::size_t current = 0; // index of the endpoint in use
     };
 
-    void run(Connections &connections);
-    std::optional<Waiting> take();
-    KvReply perform(const Waiting &waiting, Connections &connections);
+    void runThread(EndpointConnections &connections);
+    std::optional<QueuedRequest> takeRequest();
+    KvReply performRequest(const QueuedRequest &queued, EndpointConnections &connections);
 
     GatewayShared &shared_;
-    std::mutex mutex_; // guards queue_ and stopped_
+    std::mutex mutex_; // guards queue_ and isStopped_
     std::condition_variable wake_;
-    std::deque<Waiting> queue_;
-    bool stopped_ = false;
-    std::vector<Connections> connections_; // one for each thread, fixed after construction
+    std::deque<QueuedRequest> queue_;
+    bool isStopped_ = false;
+    std::vector<EndpointConnections> threadConnections_; // one per thread, fixed after construction
     std::vector<std::thread> threads_;
 };
 
--- a/src/platform/etcd_watch.cpp
+++ b/src/platform/etcd_watch.cpp
@@ -1,4 +1,4 @@
-// A watch: connecting, reading events line by line, resuming.
+// A watch: connects, reads events line by line, and resumes after a lost connection.
 #include "etcd_watch.h"
 
 #include <Poco/Exception.h>
@@ -9,14 +9,14 @@
 namespace anvilscale {
 
 namespace {
-constexpr Duration retryFirst = Milliseconds(100);
-constexpr Duration retryMost = Seconds(5);
-// A connection whose other end vanished without a word is given up after this long and taken up anew.
-constexpr Duration idleLimit = std::chrono::minutes(1);
-constexpr std::size_t lineLimit = 8U << 20;
+constexpr Duration minRetryDelay = Milliseconds(100);
+constexpr Duration maxRetryDelay = Seconds(5);
+// A connection without data for this long is reopened, in case its peer vanished without closing it.
+constexpr Duration maxIdleTime = std::chrono::minutes(1);
+constexpr std::size_t maxLineBytes = 8U << 20;
 constexpr int httpOk = 200;
 
-// std::getline, but bounded: a service that never ends its line must not fill the memory.
+// Like std::getline with a maximum length, so that an endless line cannot exhaust the memory.
 bool readLine(std::istream &in, std::string &line)
 {
     line.clear();
@@ -24,7 +24,7 @@
         if (byte == '\n') {
             return true;
         }
-        if (line.size() >= lineLimit) {
+        if (line.size() >= maxLineBytes) {
             return false;
         }
         line.push_back(static_cast<char>(byte));
@@ -36,7 +36,7 @@
 EtcdWatch::EtcdWatch(GatewayShared &shared, KvRequest request)
     : shared_(shared)
     , request_(std::move(request))
-    , next_(request_.startRevision)
+    , nextRevision_(request_.startRevision)
 {
     for (const auto &endpoint : shared_.init().endpoints) {
         connections_.push_back(std::make_unique<HttpConnection>(endpoint));
@@ -51,7 +51,7 @@
 
 void EtcdWatch::requestStop()
 {
-    stopped_ = true;
+    isStopped_ = true;
     for (auto &connection : connections_) {
         connection->abort();
     }
@@ -67,98 +67,98 @@
 
 void EtcdWatch::report(KvStatus status, bool event, std::vector<KvEntry> entries)
 {
-    if (stopped_) {
+    if (isStopped_) {
         return;
     }
     KvReply reply{.id = request_.id, .status = status, .event = event};
     reply.entries = std::move(entries);
     reply.storeRevision = storeRevision_;
-    shared_.answer(KvOp::Watch, std::move(reply));
+    shared_.sendReply(KvOp::Watch, std::move(reply));
 }
 
 void EtcdWatch::run()
 {
-    Duration wait = retryFirst;
-    std::size_t failures = 0;
-    while (!stopped_ && !shared_.stopping()) {
-        const auto before = next_;
-        const bool wasEstablished = established_;
-        if (connectAndRead(failures) == End::Over) {
+    Duration retryDelay = minRetryDelay;
+    std::size_t failureCount = 0;
+    while (!isStopped_ && !shared_.isStopping()) {
+        const auto previousRevision = nextRevision_;
+        const bool wasEstablished = isEstablished_;
+        if (connectAndRead(failureCount) == ReadResult::Finished) {
             break;
         }
-        ++failures;
-        if (!established_ && failures >= connections_.size()) {
+        ++failureCount;
+        if (!isEstablished_ && failureCount >= connections_.size()) {
             report(KvStatus::Unavailable, false);
             break;
         }
-        if (!established_) {
-            continue; // the next endpoint, at once
+        if (!isEstablished_) {
+            continue; // tries the next endpoint at once
         }
-        const bool progress = next_ != before || !wasEstablished;
-        wait = progress ? retryFirst : std::min(retryMost, wait * 2);
+        const bool hasProgress = nextRevision_ != previousRevision || !wasEstablished;
+        retryDelay = hasProgress ? minRetryDelay : std::min(maxRetryDelay, retryDelay * 2);
         shared_.count(&KvStats::watchReconnects);
-        shared_.pause(wait);
+        shared_.sleepFor(retryDelay);
     }
-    finished_ = true;
+    isFinished_ = true;
 }
 
-EtcdWatch::End EtcdWatch::connectAndRead(std::size_t endpoint)
+EtcdWatch::ReadResult EtcdWatch::connectAndRead(std::size_t endpoint)
 {
-    if (!shared_.takeCall(KvOp::Watch)) {
-        return End::Lost;
+    if (!shared_.tryTakeCall(KvOp::Watch)) {
+        return ReadResult::Lost;
     }
     auto &connection = *connections_[endpoint % connections_.size()];
     const auto deadline = HttpConnection::Clock::now() + shared_.init().timeout;
-    const auto in = connection.open(etcdPath(KvOp::Watch), etcdBody(request_, next_), deadline, idleLimit);
+    const auto in = connection.open(etcdPath(KvOp::Watch), etcdBody(request_, nextRevision_), deadline, maxIdleTime);
     if (!in || connection.status() != httpOk) {
-        return End::Lost;
+        return ReadResult::Lost;
     }
     try {
         std::string line;
-        while (!stopped_ && readLine(**in, line)) {
+        while (!isStopped_ && readLine(**in, line)) {
             const auto message = parseEtcdWatch(line);
-            if (!message.valid) {
+            if (!message.isValid) {
                 break;
             }
-            if (handle(message) == End::Over) {
-                return End::Over;
+            if (handleMessage(message) == ReadResult::Finished) {
+                return ReadResult::Finished;
             }
         }
     } catch (const Poco::Exception &) {
-        return End::Lost;
+        return ReadResult::Lost;
     }
-    return End::Lost;
+    return ReadResult::Lost;
 }
 
-EtcdWatch::End EtcdWatch::handle(const EtcdWatchMessage &message)
+EtcdWatch::ReadResult EtcdWatch::handleMessage(const EtcdWatchMessage &message)
 {
     storeRevision_ = std::max(storeRevision_, message.revision);
-    if (message.compacted) {
-        report(KvStatus::Compacted, established_);
-        return End::Over;
+    if (message.isCompacted) {
+        report(KvStatus::Compacted, isEstablished_);
+        return ReadResult::Finished;
     }
-    if (message.cancelled) {
-        return End::Lost;
+    if (message.isCancelled) {
+        return ReadResult::Lost;
     }
-    if (message.created && !established_) {
-        established_ = true;
-        if (next_ == 0) {
-            next_ = message.revision + 1;
+    if (message.isCreated && !isEstablished_) {
+        isEstablished_ = true;
+        if (nextRevision_ == 0) {
+            nextRevision_ = message.revision + 1;
         }
         report(KvStatus::Ok, false);
     }
-    // After a reconnect the service may repeat what was told already.
-    std::vector<KvEntry> fresh;
+    // After a reconnect the service may repeat events that were already reported.
+    std::vector<KvEntry> newEntries;
     for (const auto &entry : message.entries) {
-        if (entry.modRevision >= next_) {
-            fresh.push_back(entry);
+        if (entry.modRevision >= nextRevision_) {
+            newEntries.push_back(entry);
         }
     }
-    if (!fresh.empty()) {
-        next_ = fresh.back().modRevision + 1;
-        report(KvStatus::Ok, true, std::move(fresh));
+    if (!newEntries.empty()) {
+        nextRevision_ = newEntries.back().modRevision + 1;
+        report(KvStatus::Ok, true, std::move(newEntries));
     }
-    return End::Lost;
+    return ReadResult::Lost;
 }
 
 } // namespace anvilscale
--- a/src/platform/etcd_watch.h
+++ b/src/platform/etcd_watch.h
@@ -1,5 +1,5 @@
-// One watch with its thread and connection. Once it stood, it is taken up again from the revision after the last one
-// seen, so that no event is missed or told twice over a lost connection.
+// A watch with its thread and connections. Once established, it resumes after the last revision seen, so that a lost
+// connection neither loses nor repeats events.
 #pragma once
 
 #include "etcd_codec.h"
@@ -20,34 +20,34 @@
     {
         return request_.id;
     }
-    /// Any thread but the watch's own. Ends the thread; no event follows.
+    /// Stops and joins the thread; no event follows. Must not be called on the watch's own thread.
     void stop();
-    /// Any thread: tells the thread to end, without waiting.
+    /// Requests the thread to stop, without waiting. Callable from any thread.
     void requestStop();
-    bool finished() const
+    bool isFinished() const
     {
-        return finished_;
+        return isFinished_;
     }
 
 private:
-    enum class End : std::uint8_t {
-        Lost, ///< the connection ended: take the watch up again
-        Over, ///< compacted or refused: it is answered and done
+    enum class ReadResult : std::uint8_t {
+        Lost, ///< the connection ended: the watch reconnects
+        Finished, ///< compacted: the watch has been answered and ends
     };
 
     void run();
-    End connectAndRead(std::size_t endpoint);
-    End handle(const EtcdWatchMessage &message);
+    ReadResult connectAndRead(std::size_t endpoint);
+    ReadResult handleMessage(const EtcdWatchMessage &message);
     void report(KvStatus status, bool event, std::vector<KvEntry> entries = {});
 
     GatewayShared &shared_;
     const KvRequest request_;
-    std::int64_t next_; // invariant: every event before this revision has been told
+    std::int64_t nextRevision_; // invariant: all events before this revision have been reported
     std::int64_t storeRevision_ = 0;
-    bool established_ = false; // the first answer was given
-    std::atomic<bool> stopped_ = false;
-    std::atomic<bool> finished_ = false;
-    std::vector<std::unique_ptr<HttpConnection>> connections_; // by endpoint
+    bool isEstablished_ = false; // the initial reply was sent
+    std::atomic<bool> isStopped_ = false;
+    std::atomic<bool> isFinished_ = false;
+    std::vector<std::unique_ptr<HttpConnection>> connections_; // one per endpoint
     std::thread thread_;
 };
 
--- a/src/platform/gateway_shared.h
+++ b/src/platform/gateway_shared.h
@@ -1,4 +1,4 @@
-// What the workers and watches of one gateway share: endpoints, budget, counters and the way back.
+// State shared by the lanes and watches of one gateway: endpoints, call budget, counters and the reply callback.
 #pragma once
 
 #include "call_budget.h"
@@ -32,12 +32,12 @@
         return init_.endpoints[index % init_.endpoints.size()];
     }
 
-    /// Counts one call to the service, or says that the budget is spent.
-    bool takeCall(KvOp op)
+    /// Consumes one call of the budget; false if the budget is exhausted.
+    bool tryTakeCall(KvOp op)
     {
         const std::scoped_lock lock(mutex_);
         const auto now = std::chrono::steady_clock::now().time_since_epoch();
-        if (!budget_.take(op, TimePoint(std::chrono::duration_cast<Duration>(now)))) {
+        if (!budget_.tryConsume(op, TimePoint(std::chrono::duration_cast<Duration>(now)))) {
             ++stats_.overBudget;
             return false;
         }
@@ -45,7 +45,7 @@
         return true;
     }
 
-    void answer(KvOp op, KvReply reply)
+    void sendReply(KvOp op, KvReply reply)
     {
         {
             const std::scoped_lock lock(mutex_);
@@ -53,7 +53,7 @@
                 stats_.replies[static_cast<std::size_t>(op)].add(reply.status);
             }
         }
-        if (!stopping_) {
+        if (!isStopping_) {
             reply_(std::move(reply));
         }
     }
@@ -71,25 +71,25 @@
 
     void stop()
     {
-        stopping_ = true;
+        isStopping_ = true;
         const std::scoped_lock lock(mutex_);
         wake_.notify_all();
     }
-    bool stopping() const
+    bool isStopping() const
     {
-        return stopping_;
+        return isStopping_;
     }
-    /// Sleeps, but not through a stop.
-    void pause(Duration span)
+    /// Sleeps for `duration`; returns early on stop().
+    void sleepFor(Duration duration)
     {
         std::unique_lock lock(mutex_);
-        wake_.wait_for(lock, span, [this] { return stopping_.load(); });
+        wake_.wait_for(lock, duration, [this] { return isStopping_.load(); });
     }
 
 private:
     const EtcdGateway::Init init_;
     const std::function<void(KvReply)> reply_;
-    std::atomic<bool> stopping_ = false;
+    std::atomic<bool> isStopping_ = false;
     mutable std::mutex mutex_; // guards budget_ and stats_
     std::condition_variable wake_;
     CallBudget budget_;
--- a/src/platform/http_connection.cpp
+++ b/src/platform/http_connection.cpp
@@ -1,4 +1,4 @@
-// HTTP exchange with the platform over POCO's client session.
+// HTTP connection to the platform over POCO's client session.
 #include "http_connection.h"
 
 #include <Poco/Exception.h>
@@ -14,17 +14,17 @@
 namespace anvilscale {
 
 namespace {
-constexpr std::size_t readPart = 16U << 10;
+constexpr std::size_t readBufferBytes = 16U << 10;
 
-Poco::Timespan timeLeft(HttpConnection::Clock::time_point deadline)
+Poco::Timespan remainingTime(HttpConnection::Clock::time_point deadline)
 {
-    const auto left = std::chrono::duration_cast<Duration>(deadline - HttpConnection::Clock::now());
-    return Poco::Timespan(std::max<Duration::rep>(left.count(), 1));
+    const auto remaining = std::chrono::duration_cast<Duration>(deadline - HttpConnection::Clock::now());
+    return Poco::Timespan(std::max<Duration::rep>(remaining.count(), 1));
 }
 } // namespace
 
-// Bounds a whole exchange, not each read of it: a service that sends one byte now and then would otherwise hold a
-// thread far beyond the timeout, and with it every request that queues behind.
+// Bounds a whole exchange instead of each read. Prevents a service that sends single bytes from blocking a thread,
+// and the requests queued behind it, far beyond the timeout.
 class HttpConnection::DeadlineSocket : public Poco::Net::StreamSocketImpl
 {
 public:
@@ -32,31 +32,31 @@
     {
         deadline_ = deadline;
     }
-    /// For streams: only each single wait is bounded.
-    void setIdleLimit(Duration idle)
+    /// For streams: bounds each read instead of the whole exchange.
+    void setIdleTimeout(Duration idleTimeout)
     {
         deadline_.reset();
-        setReceiveTimeout(Poco::Timespan(idle.count()));
+        setReceiveTimeout(Poco::Timespan(idleTimeout.count()));
     }
     int receiveBytes(void *buffer, int length, int flags) override
     {
         if (deadline_) {
-            checkDeadline();
-            setReceiveTimeout(timeLeft(*deadline_));
+            requireTimeLeft();
+            setReceiveTimeout(remainingTime(*deadline_));
         }
         return Poco::Net::StreamSocketImpl::receiveBytes(buffer, length, flags);
     }
     int sendBytes(const void *buffer, int length, int flags) override
     {
         if (deadline_) {
-            checkDeadline();
-            setSendTimeout(timeLeft(*deadline_));
+            requireTimeLeft();
+            setSendTimeout(remainingTime(*deadline_));
         }
         return Poco::Net::StreamSocketImpl::sendBytes(buffer, length, flags);
     }
 
 private:
-    void checkDeadline() const
+    void requireTimeLeft() const
     {
         if (Clock::now() >= *deadline_) {
             throw Poco::TimeoutException();
@@ -76,23 +76,23 @@
     const std::scoped_lock lock(mutex_);
     session_.reset();
     socket_ = Poco::Net::StreamSocket();
-    limits_ = nullptr;
+    deadlineSocket_ = nullptr;
 }
 
 void HttpConnection::abort()
 {
     const std::scoped_lock lock(mutex_);
-    aborted_ = true;
+    isAborted_ = true;
     try {
         socket_.shutdown();
     } catch (const Poco::Exception &) {
-        return; // not connected: there is nothing to wake
+        return; // not connected: no blocked call to wake
     }
 }
 
-// A server may have closed a kept connection meanwhile. Writing into it would look like a lost answer, and a
-// write would needlessly count as "may have taken effect"; a readable idle connection is therefore replaced first.
-bool HttpConnection::reusable()
+// An idle connection that is readable was closed by the server and is replaced. Sending on it would look like a lost
+// reply, so that a write would needlessly count as Unknown.
+bool HttpConnection::isReusable()
 {
     if (session_ == nullptr) {
         return false;
@@ -106,22 +106,22 @@
 
 bool HttpConnection::connect(Clock::time_point deadline)
 {
-    if (reusable()) {
+    if (isReusable()) {
         return true;
     }
     close();
     try {
-        auto *limits = new DeadlineSocket; // owned by the socket
-        Poco::Net::StreamSocket socket(limits);
+        auto *deadlineSocket = new DeadlineSocket; // owned by the socket
+        Poco::Net::StreamSocket socket(deadlineSocket);
         const Poco::Net::SocketAddress address(uri_.getHost(), uri_.getPort());
-        socket.connect(address, timeLeft(deadline));
+        socket.connect(address, remainingTime(deadline));
         socket.setNoDelay(true);
         const std::scoped_lock lock(mutex_);
-        if (aborted_) {
+        if (isAborted_) {
             return false;
         }
         socket_ = socket;
-        limits_ = limits;
+        deadlineSocket_ = deadlineSocket;
         session_ = std::make_unique<Poco::Net::HTTPClientSession>(socket);
         session_->setKeepAlive(true);
         return true;
@@ -146,31 +146,31 @@
 
 tl::expected<HttpAnswer, ExchangeError> HttpConnection::exchange(const std::string &method, const std::string &path,
                                                                  const std::string &body, Clock::time_point deadline,
-                                                                 std::size_t limit)
+                                                                 std::size_t maxBytes)
 {
     if (!connect(deadline)) {
         return tl::unexpected(ExchangeError::NotSent);
     }
     try {
-        limits_->setDeadline(deadline);
+        deadlineSocket_->setDeadline(deadline);
         std::istream &in = send(method, path, body);
         HttpAnswer answer;
         answer.status = response_.getStatus();
-        std::vector<char> part(readPart);
-        while (in.read(part.data(), static_cast<std::streamsize>(part.size())) || in.gcount() > 0) {
-            answer.body.append(part.data(), static_cast<std::size_t>(in.gcount()));
-            if (answer.body.size() > limit) {
+        std::vector<char> chunk(readBufferBytes);
+        while (in.read(chunk.data(), static_cast<std::streamsize>(chunk.size())) || in.gcount() > 0) {
+            answer.body.append(chunk.data(), static_cast<std::size_t>(in.gcount()));
+            if (answer.body.size() > maxBytes) {
                 close();
                 return tl::unexpected(ExchangeError::TooLarge);
             }
         }
-        const bool cut = in.bad()
-                         || (response_.hasContentLength()
-                             && answer.body.size() != static_cast<std::size_t>(response_.getContentLength64()));
-        if (cut || !response_.getKeepAlive()) {
+        const bool isTruncated = in.bad()
+                                 || (response_.hasContentLength()
+                                     && answer.body.size() != static_cast<std::size_t>(response_.getContentLength64()));
+        if (isTruncated || !response_.getKeepAlive()) {
             close();
         }
-        if (cut) {
+        if (isTruncated) {
             return tl::unexpected(ExchangeError::NoAnswer);
         }
         return answer;
@@ -181,16 +181,16 @@
 }
 
 tl::expected<std::istream *, ExchangeError> HttpConnection::open(const std::string &path, const std::string &body,
-                                                                 Clock::time_point deadline, Duration idle)
+                                                                 Clock::time_point deadline, Duration idleTimeout)
 {
     close();
     if (!connect(deadline)) {
         return tl::unexpected(ExchangeError::NotSent);
     }
     try {
-        limits_->setDeadline(deadline);
+        deadlineSocket_->setDeadline(deadline);
         std::istream &in = send("POST", path, body);
-        limits_->setIdleLimit(idle);
+        deadlineSocket_->setIdleTimeout(idleTimeout);
         return &in;
     } catch (const Poco::Exception &) {
         close();
--- a/src/platform/http_connection.h
+++ b/src/platform/http_connection.h
@@ -1,5 +1,5 @@
-// One HTTP connection to the platform, kept alive between calls. It tells apart what was certainly not sent from
-// what may have reached the service, because callers must know whether a write can have taken effect.
+// An HTTP connection to the platform, kept alive between calls. Distinguishes requests that were certainly not sent
+// from those that may have reached the service, because a write may have taken effect then.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -20,7 +20,7 @@
 enum class ExchangeError : std::uint8_t {
     NotSent, ///< no connection: the request certainly had no effect
     NoAnswer, ///< the request may have been received
-    TooLarge, ///< the answer is larger than allowed
+    TooLarge, ///< the response exceeds the limit
     Count
 };
 
@@ -37,35 +37,36 @@
 
     explicit HttpConnection(const std::string &url);
 
-    /// One request and its whole answer, until `deadline`.
+    /// Sends a request and reads its complete response until `deadline`, up to `maxBytes` of body.
     tl::expected<HttpAnswer, ExchangeError> exchange(const std::string &method, const std::string &path,
                                                      const std::string &body, Clock::time_point deadline,
-                                                     std::size_t limit);
-    /// Sends a request whose answer is read as a stream. The stream lives until the next call or close().
+                                                     std::size_t maxBytes);
+    /// Sends a POST request and returns its response as a stream, valid until the next call or close(). `idleTimeout`
+    /// bounds each read.
     tl::expected<std::istream *, ExchangeError> open(const std::string &path, const std::string &body,
-                                                     Clock::time_point deadline, Duration idle);
+                                                     Clock::time_point deadline, Duration idleTimeout);
     int status() const
     {
         return response_.getStatus();
     }
     void close();
-    /// Any thread: a blocked call of the owner's thread returns soon, and every later one fails.
+    /// Makes a blocked call of the owner's thread return soon and every later one fail. Callable from any thread.
     void abort();
 
 private:
     class DeadlineSocket;
 
     bool connect(Clock::time_point deadline);
-    bool reusable();
+    bool isReusable();
     std::istream &send(const std::string &method, const std::string &path, const std::string &body);
 
     Poco::URI uri_;
     std::unique_ptr<Poco::Net::HTTPClientSession> session_;
     Poco::Net::HTTPResponse response_;
-    std::mutex mutex_; // guards socket_ and aborted_
+    std::mutex mutex_; // guards socket_ and isAborted_
     Poco::Net::StreamSocket socket_; // the session's socket, shared so that abort() can reach it
-    DeadlineSocket *limits_ = nullptr; // of socket_, null if there is no connection
-    bool aborted_ = false;
+    DeadlineSocket *deadlineSocket_ = nullptr; // implementation of socket_; null if there is no connection
+    bool isAborted_ = false;
 };
 
 } // namespace anvilscale
--- a/src/platform/http_vm_list.cpp
+++ b/src/platform/http_vm_list.cpp
@@ -1,4 +1,4 @@
-// The platform's list of VMs over HTTP.
+// Polling of the platform's list of VMs over HTTP.
 #include "http_connection.h"
 
 #include "anvilscale/platform.h"
@@ -16,38 +16,38 @@
 static_assert(VmListSource<HttpVmList>);
 
 namespace {
-constexpr std::size_t answerLimit = 4U << 20;
+constexpr std::size_t maxAnswerBytes = 4U << 20;
 constexpr int httpOk = 200;
 
-std::string text(const Poco::JSON::Object &object, const char *name)
+std::string readText(const Poco::JSON::Object &object, const char *name)
 {
     return object.getValue<std::string>(name);
 }
 
 VmInfo readVm(const Poco::JSON::Object &object)
 {
-    const auto role = fromString<VmRole>(text(object, "role"));
-    const auto state = fromString<VmState>(text(object, "state"));
+    const auto role = fromString<VmRole>(readText(object, "role"));
+    const auto state = fromString<VmState>(readText(object, "state"));
     if (!role || !state) {
-        throw Poco::DataFormatException("role or state");
+        throw Poco::DataFormatException("unknown role or state");
     }
     VmInfo vm;
-    vm.name = text(object, "name");
+    vm.name = readText(object, "name");
     vm.role = *role;
     vm.state = *state;
-    vm.dataCentre = text(object, "dataCentre");
-    vm.region = text(object, "region");
-    vm.address = text(object, "address");
+    vm.dataCentre = readText(object, "dataCentre");
+    vm.region = readText(object, "region");
+    vm.address = readText(object, "address");
     return vm;
 }
 
-HttpVmList::Result read(HttpConnection &connection, const std::string &path, Duration timeout)
+HttpVmList::Result fetchList(HttpConnection &connection, const std::string &path, Duration timeout)
 {
     const auto deadline = HttpConnection::Clock::now() + timeout;
-    const auto answer = connection.exchange("GET", path, {}, deadline, answerLimit);
+    const auto answer = connection.exchange("GET", path, {}, deadline, maxAnswerBytes);
     if (!answer) {
-        const bool large = answer.error() == ExchangeError::TooLarge;
-        return tl::unexpected(large ? VmListError::TooLarge : VmListError::Unreachable);
+        const bool isTooLarge = answer.error() == ExchangeError::TooLarge;
+        return tl::unexpected(isTooLarge ? VmListError::TooLarge : VmListError::Unreachable);
     }
     if (answer->status != httpOk) {
         return tl::unexpected(VmListError::BadStatus);
@@ -55,7 +55,7 @@
     return parseVmList(answer->body);
 }
 
-std::string pathOf(const std::string &url)
+std::string requestPath(const std::string &url)
 {
     const auto path = Poco::URI(url).getPathEtc();
     return path.empty() ? "/" : path;
@@ -87,14 +87,14 @@
 HttpVmList::Result readVmList(const std::string &url, Duration timeout)
 {
     HttpConnection connection(url);
-    return read(connection, pathOf(url), timeout);
+    return fetchList(connection, requestPath(url), timeout);
 }
 
 struct HttpVmList::Impl
 {
-    Impl(Init given, std::function<void(Result)> receiver)
-        : init(std::move(given))
-        , callback(std::move(receiver))
+    Impl(Init parameters, std::function<void(Result)> resultCallback)
+        : init(std::move(parameters))
+        , callback(std::move(resultCallback))
         , connection(init.url)
         , thread([this] { run(); })
     {
@@ -102,30 +102,30 @@
 
     void run()
     {
-        const std::string path = pathOf(init.url);
+        const std::string path = requestPath(init.url);
         std::unique_lock lock(mutex);
-        while (!stopped) {
-            asked = false;
+        while (!isStopped) {
+            isRefreshRequested = false;
             lock.unlock();
-            auto result = read(connection, path, init.timeout);
+            auto result = fetchList(connection, path, init.timeout);
             lock.lock();
-            if (stopped) {
+            if (isStopped) {
                 return;
             }
             lock.unlock();
             callback(std::move(result));
             lock.lock();
-            wake.wait_for(lock, init.interval, [this] { return stopped || asked; });
+            wake.wait_for(lock, init.interval, [this] { return isStopped || isRefreshRequested; });
         }
     }
 
     const Init init;
     const std::function<void(Result)> callback;
     HttpConnection connection;
-    std::mutex mutex; // guards asked and stopped
+    std::mutex mutex; // guards isRefreshRequested and isStopped
     std::condition_variable wake;
-    bool asked = false;
-    bool stopped = false;
+    bool isRefreshRequested = false;
+    bool isStopped = false;
     std::thread thread;
 };
 
@@ -142,7 +142,7 @@
 void HttpVmList::requestRefresh()
 {
     const std::scoped_lock lock(impl_->mutex);
-    impl_->asked = true;
+    impl_->isRefreshRequested = true;
     impl_->wake.notify_all();
 }
 
@@ -150,7 +150,7 @@
 {
     {
         const std::scoped_lock lock(impl_->mutex);
-        impl_->stopped = true;
+        impl_->isStopped = true;
         impl_->wake.notify_all();
     }
     impl_->connection.abort();
--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -1,4 +1,5 @@
-// The platform's adapters against the stand-ins: what is certain and what is not, fail-over, budget, watches, limits.
+// Tests of the platform adapters against stand-in services: certainty of outcomes, failover, budget, watches and
+// limits.
 #include "support/standin_process.h"
 
 #include "anvilscale/platform.h"
@@ -18,12 +19,12 @@
 
 namespace {
 
-/// A gateway whose replies are waited for, one by one.
+/// A gateway with functions that wait for its replies.
 class Client
 {
 public:
     explicit Client(std::vector<std::string> endpoints, Duration timeout = Seconds(10), double budget = 1000.0)
-        : gateway_({std::move(endpoints), timeout, budget}, [this](KvReply reply) { keep(std::move(reply)); })
+        : gateway_({std::move(endpoints), timeout, budget}, [this](KvReply reply) { addReply(std::move(reply)); })
     {
     }
 
@@ -36,7 +37,7 @@
         gateway_.submit(std::move(request));
         return id;
     }
-    /// The next reply for `id`.
+    /// Waits for the next reply to `id`.
     KvReply reply(KvHandle id)
     {
         std::unique_lock lock(mutex_);
@@ -48,8 +49,8 @@
                     return found;
                 }
             }
-            constexpr auto patience = std::chrono::seconds(60);
-            if (arrived_.wait_for(lock, patience) == std::cv_status::timeout) {
+            constexpr auto maxWait = std::chrono::seconds(60);
+            if (replyArrived_.wait_for(lock, maxWait) == std::cv_status::timeout) {
                 ADD_FAILURE() << "no reply";
                 return {};
             }
@@ -96,21 +97,21 @@
     }
 
 private:
-    void keep(KvReply reply)
+    void addReply(KvReply reply)
     {
         const std::scoped_lock lock(mutex_);
         replies_.push_back(std::move(reply));
-        arrived_.notify_all();
+        replyArrived_.notify_all();
     }
 
     std::mutex mutex_;
-    std::condition_variable arrived_;
+    std::condition_variable replyArrived_;
     std::deque<KvReply> replies_;
     std::uint64_t lastId_ = 0;
     EtcdGateway gateway_;
 };
 
-/// Accepts connections and answers every one with the parts given, a pause between them.
+/// Server that answers each connection with the given parts, with a pause after each.
 class RawServer
 {
 public:
@@ -121,7 +122,7 @@
     }
     ~RawServer()
     {
-        stopped_ = true;
+        isStopped_ = true;
         thread_.join();
     }
     std::string url() const
@@ -132,7 +133,7 @@
 private:
     void serve(const std::vector<std::string> &parts, std::chrono::milliseconds pause)
     {
-        while (!stopped_) {
+        while (!isStopped_) {
             if (!socket_.poll(Poco::Timespan(0, 10000), Poco::Net::Socket::SELECT_READ)) {
                 continue;
             }
@@ -140,23 +141,23 @@
                 auto connection = socket_.acceptConnection();
                 std::array<char, 4096> request{};
                 connection.receiveBytes(request.data(), request.size());
-                for (std::size_t i = 0; i < parts.size() && !stopped_; ++i) {
+                for (std::size_t i = 0; i < parts.size() && !isStopped_; ++i) {
                     connection.sendBytes(parts[i].data(), static_cast<int>(parts[i].size()));
                     std::this_thread::sleep_for(pause);
                 }
             } catch (const Poco::Exception &) {
-                continue; // the client left
+                continue; // the client disconnected
             }
         }
     }
 
     Poco::Net::ServerSocket socket_;
-    std::atomic<bool> stopped_ = false;
+    std::atomic<bool> isStopped_ = false;
     std::thread thread_;
 };
 
-/// A port on which nobody listens.
-std::string refusedEndpoint()
+/// Returns an endpoint without a listener.
+std::string closedEndpoint()
 {
     Poco::Net::ServerSocket socket(Poco::Net::SocketAddress("127.0.0.1", 0));
     return "http://" + socket.address().toString();
@@ -184,7 +185,7 @@
     EXPECT_TRUE(client.get("none").entries.empty());
 }
 
-TEST(EtcdGateway, largeValueComesBackWhole)
+TEST(EtcdGateway, largeValueIsReadBack)
 {
     const StandinProcess service("key-value");
     Client client({service.url()});
@@ -193,7 +194,7 @@
     EXPECT_EQ(client.get("large").entries.at(0).value, large);
 }
 
-TEST(EtcdGateway, leaseTakesItsKeysAlong)
+TEST(EtcdGateway, revokedLeaseDeletesItsKeys)
 {
     const StandinProcess service("key-value");
     Client client({service.url()});
@@ -208,9 +209,9 @@
     EXPECT_EQ(client.put("held", "me", 0, lease.lease).status, KvStatus::LeaseGone);
 }
 
-// The writer gets no answer to a write that took effect. If the adapter called it Unavailable, the writer would
-// believe that nothing happened; if it sent the write again, its own first write would look like a conflict.
-TEST(EtcdGateway, lostReplyOfAWriteIsUnknownAndIsNotSentAgain)
+// Guards against reporting a write that took effect as Unavailable, and against resending it, which would look like a
+// conflict.
+TEST(EtcdGateway, lostReplyOfWriteIsUnknownAndNotResent)
 {
     const StandinProcess service("key-value");
     const StandinProcess second("key-value");
@@ -222,25 +223,25 @@
     EXPECT_EQ(reader.get("a").entries.at(0).value, "1");
 }
 
-// Nobody listens: the write was certainly not received, so the caller may be told so.
+// Guards against an uncertain outcome for a write that was certainly not received.
 TEST(EtcdGateway, refusedConnectionIsUnavailable)
 {
-    Client client({refusedEndpoint()});
+    Client client({closedEndpoint()});
     EXPECT_EQ(client.put("a", "1", 0).status, KvStatus::Unavailable);
     EXPECT_EQ(client.reply(client.watch("a")).status, KvStatus::Unavailable);
 }
 
-TEST(EtcdGateway, failsOverToTheNextEndpointAndStaysThere)
+TEST(EtcdGateway, failsOverToNextEndpoint)
 {
     const StandinProcess service("key-value");
-    Client client({refusedEndpoint(), service.url()});
+    Client client({closedEndpoint(), service.url()});
     EXPECT_EQ(client.put("a", "1", 0).status, KvStatus::Ok);
     EXPECT_EQ(client.get("a").status, KvStatus::Ok);
     EXPECT_GE(client.gateway().stats().failovers, 1U);
 }
 
-// The service hangs. Each call ends by its timeout: the read had no effect, the write may have one yet.
-TEST(EtcdGateway, hangingServiceEndsByTheTimeout)
+// Guards against waiting for a hanging service: a read had no effect, a write may still take effect.
+TEST(EtcdGateway, hangingServiceTimesOut)
 {
     const StandinProcess service("key-value");
     Client client({service.url()}, Milliseconds(500));
@@ -250,9 +251,8 @@
     service.control(R"({"outage":"none"})");
 }
 
-// A service sends its answer a byte at a time, each before the wait for one byte is over. The whole answer would take
-// minutes; the call must end by its timeout all the same, or every request behind it would wait as long.
-TEST(EtcdGateway, drippingAnswerEndsByTheTimeout)
+// Guards against a service that sends single bytes and blocks the requests queued behind beyond the timeout.
+TEST(EtcdGateway, slowReplyTimesOut)
 {
     std::vector<std::string> parts(6000, "x");
     parts.front() = "HTTP/1.1 200 OK\r\nContent-Length: 5999\r\n\r\n";
@@ -261,8 +261,8 @@
     EXPECT_EQ(client.put("a", "1", 0).status, KvStatus::Unknown);
 }
 
-// An answer without end must not fill the memory.
-TEST(EtcdGateway, answerOverTheLimitIsRefused)
+// Guards against a response without end that exhausts the memory.
+TEST(EtcdGateway, oversizedReplyIsRejected)
 {
     std::vector<std::string> parts{"HTTP/1.1 200 OK\r\nContent-Length: 100000000\r\n\r\n"};
     parts.insert(parts.end(), 100, std::string(1000000, 'x'));
@@ -272,8 +272,8 @@
     EXPECT_EQ(client.put("a", "1", 0).status, KvStatus::Unknown);
 }
 
-// Something that is not the service answers. A write must not be taken for refused: it may have been passed on.
-TEST(EtcdGateway, answerThatIsNotUnderstoodIsUnknown)
+// Guards against reporting a write as refused when an unknown server replied: it may have been forwarded.
+TEST(EtcdGateway, malformedReplyIsUnknown)
 {
     const RawServer service({"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"}, std::chrono::milliseconds(0));
     Client client({service.url()});
@@ -281,14 +281,14 @@
     EXPECT_EQ(client.get("a").status, KvStatus::Unavailable);
 }
 
-TEST(EtcdGateway, rateLimitOfTheServiceIsUnavailable)
+TEST(EtcdGateway, rateLimitedRequestIsUnavailable)
 {
     const StandinProcess service("key-value", {"--rate", "0.001"});
     Client client({service.url()});
     EXPECT_EQ(client.put("a", "1", 0).status, KvStatus::Unavailable);
 }
 
-// A process that loops may not spend the others' share of the service, nor its own lease's keep-alives.
+// Guards against a looping process that uses up the call rate of others or delays its own keep-alives.
 TEST(EtcdGateway, budgetRefusesReadsBeforeKeepAlives)
 {
     const StandinProcess service("key-value");
@@ -305,7 +305,7 @@
     EXPECT_GE(client.gateway().stats().of(KvOp::Range, KvStatus::Unavailable), 1U);
 }
 
-TEST(EtcdGateway, watchTellsEachChangeOnce)
+TEST(EtcdGateway, watchReportsEachChangeOnce)
 {
     const StandinProcess service("key-value");
     Client client({service.url()});
@@ -319,8 +319,7 @@
     EXPECT_EQ(event.entries[0].modRevision, written.storeRevision);
 }
 
-// The service goes away under a watch and a change is made while nobody watches. The watch is taken up again by
-// itself and tells that change: without the resume it would be missed for ever.
+// Guards against a change that is missed because it was made while the watch was disconnected.
 TEST(EtcdGateway, watchResumesAfterAnOutage)
 {
     const StandinProcess service("key-value");
@@ -340,8 +339,8 @@
     EXPECT_EQ(event.entries[0].value, "2");
 }
 
-// The history that a watch asks for is gone. It is told so and must read in full; silence would lose changes.
-TEST(EtcdGateway, compactedWatchIsTold)
+// Guards against lost changes: a watch of compacted history must report that a full read is required.
+TEST(EtcdGateway, compactedWatchIsReported)
 {
     const StandinProcess service("key-value");
     Client client({service.url()});
@@ -356,7 +355,7 @@
     EXPECT_EQ(reply.status, KvStatus::Compacted);
 }
 
-TEST(EtcdGateway, cancelledWatchTellsNothingMore)
+TEST(EtcdGateway, cancelledWatchReportsNothingMore)
 {
     const StandinProcess service("key-value");
     Client client({service.url()});
@@ -372,32 +371,32 @@
     EXPECT_EQ(client.put("a", "1", 0).status, KvStatus::Ok);
 }
 
-TEST(VmList, refusesAListWithOneBadLine)
+TEST(VmList, rejectsListWithInvalidElement)
 {
-    const std::string good = R"({"name":"e1","role":"entry","state":"live","dataCentre":"d","region":"r",)"
-                             R"("address":"127.0.0.1:1","new":1})";
-    const auto list = parseVmList("{\"vms\":[" + good + "]}");
+    const std::string validVm = R"({"name":"e1","role":"entry","state":"live","dataCentre":"d","region":"r",)"
+                                R"("address":"127.0.0.1:1","new":1})";
+    const auto list = parseVmList("{\"vms\":[" + validVm + "]}");
     ASSERT_TRUE(list.has_value());
     EXPECT_EQ(list->at(0).name, "e1");
-    EXPECT_EQ(parseVmList("{\"vms\":[" + good + R"(,{"name":"e2"}]})").error(), VmListError::BadForm);
+    EXPECT_EQ(parseVmList("{\"vms\":[" + validVm + R"(,{"name":"e2"}]})").error(), VmListError::BadForm);
     EXPECT_EQ(parseVmList("[]").error(), VmListError::BadForm);
-    EXPECT_EQ(parseVmList("{\"vms\":[" + good + ",1]}").error(), VmListError::BadForm);
+    EXPECT_EQ(parseVmList("{\"vms\":[" + validVm + ",1]}").error(), VmListError::BadForm);
 }
 
-TEST(VmList, readsOnRequest)
+TEST(VmList, refreshesOnRequest)
 {
     const StandinProcess service("vm-list");
     std::mutex mutex;
-    std::condition_variable arrived;
+    std::condition_variable resultArrived;
     std::deque<HttpVmList::Result> results;
     HttpVmList list({service.url() + "/vms", std::chrono::hours(1), Seconds(10)}, [&](HttpVmList::Result result) {
         const std::scoped_lock lock(mutex);
         results.push_back(std::move(result));
-        arrived.notify_all();
+        resultArrived.notify_all();
     });
     const auto next = [&] {
         std::unique_lock lock(mutex);
-        arrived.wait_for(lock, std::chrono::seconds(60), [&] { return !results.empty(); });
+        resultArrived.wait_for(lock, std::chrono::seconds(60), [&] { return !results.empty(); });
         auto result = results.front();
         results.pop_front();
         return result;
@@ -408,5 +407,5 @@
     list.requestRefresh();
     EXPECT_EQ(next()->at(0).state, VmState::Leaving);
     list.shutdown();
-    EXPECT_EQ(readVmList(refusedEndpoint(), Seconds(1)).error(), VmListError::Unreachable);
+    EXPECT_EQ(readVmList(closedEndpoint(), Seconds(1)).error(), VmListError::Unreachable);
 }
--- a/tests/unit/site_dialect_test.cpp
+++ b/tests/unit/site_dialect_test.cpp
@@ -1,4 +1,4 @@
-// The adapter to the users' platform: what its messages mean in the project's terms.
+// Tests of the adapter to the users' platform: conversion of its messages to the project's types.
 #include "site_dialect.h"
 
 #include <Poco/Base64Encoder.h>
@@ -13,7 +13,7 @@
 
 using site::SiteDialect;
 
-HttpRequestData clientRequest()
+HttpRequestData makeCallerRequest()
 {
     HttpRequestData request;
     request.method = "POST";
@@ -34,13 +34,13 @@
     return request;
 }
 
-std::string valueOf(const EndpointRequest &request, std::string_view name)
+std::string headerValue(const EndpointRequest &request, std::string_view name)
 {
     const auto *found = findHeader(request.headers, name);
     return found == nullptr ? "-" : *found;
 }
 
-HttpResponseHead headOf(std::uint32_t status, HttpHeaders headers)
+HttpResponseHead makeHead(std::uint32_t status, HttpHeaders headers)
 {
     HttpResponseHead head;
     head.status = status;
@@ -48,53 +48,53 @@
     return head;
 }
 
-TEST(SiteCalls, FactsOfARequest)
+TEST(SiteCalls, RequestIsParsed)
 {
-    const auto facts = SiteDialect::readCall(clientRequest());
-    ASSERT_TRUE(facts);
-    EXPECT_EQ(facts->requestId, "9c41");
-    EXPECT_EQ(facts->host, "ficu95.example");
-    EXPECT_EQ(facts->path, "/lohu930/2f");
-    EXPECT_EQ(facts->model, "daka");
-    EXPECT_EQ(facts->adapter, "a3");
-    EXPECT_EQ(facts->promptTokens, 1460U);
-    ASSERT_EQ(facts->parts.size(), 2U);
-    EXPECT_EQ(facts->parts[0].tokens, 800U);
-    EXPECT_EQ(facts->patience, Seconds(5));
+    const auto info = SiteDialect::readCall(makeCallerRequest());
+    ASSERT_TRUE(info);
+    EXPECT_EQ(info->requestId, "9c41");
+    EXPECT_EQ(info->host, "ficu95.example");
+    EXPECT_EQ(info->path, "/lohu930/2f");
+    EXPECT_EQ(info->model, "daka");
+    EXPECT_EQ(info->adapter, "a3");
+    EXPECT_EQ(info->promptTokens, 1460U);
+    ASSERT_EQ(info->parts.size(), 2U);
+    EXPECT_EQ(info->parts[0].tokens, 800U);
+    EXPECT_EQ(info->patience, Seconds(5));
 }
 
-TEST(SiteCalls, RequestsThatAreNoCallsAreTyped)
+TEST(SiteCalls, InvalidRequestsAreRejected)
 {
-    auto request = clientRequest();
+    auto request = makeCallerRequest();
     request.headers[5].second = "soon";
     EXPECT_EQ(SiteDialect::readCall(request).error(), CallProblem::BadTimeLeft);
     request.headers.erase(request.headers.begin() + 1);
     EXPECT_EQ(SiteDialect::readCall(request).error(), CallProblem::NoRequestId);
 }
 
-// A caller could name a reservation, a cache or an incarnation that is not its own: what only the system may set is
-// never passed on as the caller sent it.
-TEST(SiteCalls, WhatOnlyTheSystemMaySetIsNotPassedOn)
+// Guards against callers that name a reservation, a cache or an incarnation of others by headers that only the system
+// may set.
+TEST(SiteCalls, ReservedHeadersAreNotForwarded)
 {
     SendCall send;
     send.endpointId = "i-1";
     send.version = 3;
     send.priority = 12;
-    const auto request = SiteDialect::callRequest(clientRequest(), send, Milliseconds(1234));
+    const auto request = SiteDialect::callRequest(makeCallerRequest(), send, Milliseconds(1234));
     EXPECT_EQ(request.host, "Ficu95.example:8080");
     EXPECT_EQ(request.target, "/lohu930/2f?x=1");
-    EXPECT_EQ(valueOf(request, "X-Own"), "kept");
+    EXPECT_EQ(headerValue(request, "X-Own"), "kept");
     for (const auto *name : {"X-Anvilscale-Hold", "X-Anvilscale-Pin-Ms", "Kv-From", "X-Hop"}) {
-        EXPECT_EQ(valueOf(request, name), "-") << name;
+        EXPECT_EQ(headerValue(request, name), "-") << name;
     }
-    EXPECT_EQ(valueOf(request, "X-Anvilscale-Deadline-Ms"), "1234");
-    EXPECT_EQ(valueOf(request, "X-Anvilscale-Expect-Instance"), "i-1");
-    EXPECT_EQ(valueOf(request, "X-Anvilscale-Expect-Version"), "3");
-    EXPECT_EQ(valueOf(request, "X-Anvilscale-Request-Priority"), "9");
-    EXPECT_EQ(valueOf(request, "X-Anvilscale-Request-Id"), "9c41");
+    EXPECT_EQ(headerValue(request, "X-Anvilscale-Deadline-Ms"), "1234");
+    EXPECT_EQ(headerValue(request, "X-Anvilscale-Expect-Instance"), "i-1");
+    EXPECT_EQ(headerValue(request, "X-Anvilscale-Expect-Version"), "3");
+    EXPECT_EQ(headerValue(request, "X-Anvilscale-Request-Priority"), "9");
+    EXPECT_EQ(headerValue(request, "X-Anvilscale-Request-Id"), "9c41");
 }
 
-std::string base64(const std::string &text)
+std::string encodeBase64(const std::string &text)
 {
     std::ostringstream out;
     Poco::Base64Encoder encoder(out);
@@ -112,11 +112,11 @@
     EndpointRefusal refusal;
 };
 
-TEST(SiteCalls, WhatAnAnswerMeans)
+TEST(SiteCalls, AnswersAreClassified)
 {
     const std::pair<std::string, std::string> id{"X-Anvilscale-Request-Id", "9c41"};
     const std::pair<std::string, std::string> signature{"X-Anvilscale-Server-Signature", "s"};
-    const std::pair<std::string, std::string> notRun{"X-Anvilscale-Not-Executed", "1"};
+    const std::pair<std::string, std::string> notExecuted{"X-Anvilscale-Not-Executed", "1"};
     const std::vector<AnswerCase> cases{
         {200, {id, signature}, AnswerKind::Success, EndpointRefusal::None},
         {200, {id}, AnswerKind::Foreign, EndpointRefusal::None},
@@ -125,45 +125,46 @@
         {200, {id, signature, {"Content-Encoding", "gzip"}}, AnswerKind::Foreign, EndpointRefusal::None},
         {500, {id, signature}, AnswerKind::OwnFailure, EndpointRefusal::None},
         {503, {id}, AnswerKind::Foreign, EndpointRefusal::None},
-        {503, {id, notRun}, AnswerKind::Refused, EndpointRefusal::Full},
+        {503, {id, notExecuted}, AnswerKind::Refused, EndpointRefusal::Full},
         {421, {{"X-Anvilscale-Instance-Id", "i-2"}}, AnswerKind::Refused, EndpointRefusal::OtherIncarnation},
         {421, {{"X-Anvilscale-Instance-Id", "i-1"}}, AnswerKind::Refused, EndpointRefusal::NotLoaded},
         {421, {}, AnswerKind::Refused, EndpointRefusal::NotLoaded},
     };
-    for (const auto &one : cases) {
-        const auto answer = SiteDialect::readAnswer(headOf(one.status, one.headers), "9c41", "i-1");
-        EXPECT_EQ(toString(answer.kind), toString(one.kind)) << one.status;
-        EXPECT_EQ(toString(answer.refusal), toString(one.refusal)) << one.status;
+    for (const auto &answerCase : cases) {
+        const auto answer = SiteDialect::readAnswer(makeHead(answerCase.status, answerCase.headers), "9c41", "i-1");
+        EXPECT_EQ(toString(answer.kind), toString(answerCase.kind)) << answerCase.status;
+        EXPECT_EQ(toString(answer.refusal), toString(answerCase.refusal)) << answerCase.status;
     }
 }
 
-TEST(SiteCalls, WhatAnAnswerSaysOfItsEndpoint)
+TEST(SiteCalls, EndpointNoticesAreRead)
 {
-    const auto noticeOf = [](std::uint32_t status, const HttpHeaders &headers) {
+    const auto readNotice = [](std::uint32_t status, const HttpHeaders &headers) {
         HttpResponseHead head;
         head.status = status;
         head.headers = headers;
         return SiteDialect::readAnswer(head, "9c41", "i-1").notice;
     };
-    const HttpHeaders own{{"X-Anvilscale-Request-Id", "9c41"}, {"X-Anvilscale-Server-Signature", "s"}};
-    const auto with = [](HttpHeaders headers, const std::string &name, const std::string &value) {
+    const HttpHeaders ownHeaders{{"X-Anvilscale-Request-Id", "9c41"}, {"X-Anvilscale-Server-Signature", "s"}};
+    const auto withHeader = [](HttpHeaders headers, const std::string &name, const std::string &value) {
         headers.emplace_back(name, value);
         return headers;
     };
-    EXPECT_TRUE(noticeOf(200, own).empty());
-    EXPECT_TRUE(noticeOf(200, with(own, "Server-Leaving", "1")).leaving);
-    EXPECT_TRUE(noticeOf(500, with(own, "Server-Leaving", "1")).leaving);
+    EXPECT_TRUE(readNotice(200, ownHeaders).empty());
+    EXPECT_TRUE(readNotice(200, withHeader(ownHeaders, "Server-Leaving", "1")).leaving);
+    EXPECT_TRUE(readNotice(500, withHeader(ownHeaders, "Server-Leaving", "1")).leaving);
     const HttpHeaders refused{{"X-Anvilscale-Not-Executed", "1"}};
-    EXPECT_TRUE(noticeOf(503, with(refused, "Server-Leaving", "1")).leaving);
-    EXPECT_EQ(noticeOf(503, with(refused, "Retry-After", "1.5")).pause, Milliseconds(1500));
-    EXPECT_EQ(noticeOf(503, with(refused, "Retry-After", "Wed, 21 Oct 2026 07:28:00 GMT")).pause, Duration(0));
-    EXPECT_EQ(noticeOf(503, with(refused, "Retry-After", "-3")).pause, Duration(0));
-    EXPECT_EQ(noticeOf(429, with(refused, "Retry-After", "3")).pause, Duration(0)) << "told of the call, not of itself";
+    EXPECT_TRUE(readNotice(503, withHeader(refused, "Server-Leaving", "1")).leaving);
+    EXPECT_EQ(readNotice(503, withHeader(refused, "Retry-After", "1.5")).pause, Milliseconds(1500));
+    EXPECT_EQ(readNotice(503, withHeader(refused, "Retry-After", "Wed, 21 Oct 2026 07:28:00 GMT")).pause, Duration(0));
+    EXPECT_EQ(readNotice(503, withHeader(refused, "Retry-After", "-3")).pause, Duration(0));
+    EXPECT_EQ(readNotice(429, withHeader(refused, "Retry-After", "3")).pause, Duration(0))
+        << "concerns the call, not the endpoint";
     const HttpHeaders other{{"X-Anvilscale-Instance-Id", "i-2"}, {"Server-Leaving", "1"}};
-    EXPECT_TRUE(noticeOf(421, other).empty()) << "the word of another endpoint";
+    EXPECT_TRUE(readNotice(421, other).empty()) << "response of another endpoint";
 }
 
-TEST(SiteEngine, ReportsAndOrders)
+TEST(SiteEngine, ReportsAndOrdersAreConverted)
 {
     HttpResponseHead head;
     const auto report = SiteDialect::readReport(
@@ -179,13 +180,13 @@
     EXPECT_TRUE(report->busy);
     EXPECT_EQ(report->sequence, 7U);
     EXPECT_EQ(report->running, 12U);
-    EXPECT_EQ(report->born, 0U) << "not told";
-    EXPECT_FALSE(report->leaving) << "not told";
+    EXPECT_EQ(report->born, 0U) << "0 if unknown";
+    EXPECT_FALSE(report->leaving) << "false if unknown";
     EXPECT_TRUE(SiteDialect::readReport(head, R"({"state":"draining","sequence":0})")->leaving);
     EXPECT_FALSE(SiteDialect::readReport(head, R"({"state":"ready","sequence":0})")->leaving);
-    HttpResponseHead told;
-    told.headers = {{"Server-Leaving", "1"}};
-    EXPECT_TRUE(SiteDialect::readReport(told, R"({"state":"ready","sequence":0})")->leaving);
+    HttpResponseHead leavingHead;
+    leavingHead.headers = {{"Server-Leaving", "1"}};
+    EXPECT_TRUE(SiteDialect::readReport(leavingHead, R"({"state":"ready","sequence":0})")->leaving);
     EXPECT_FALSE(SiteDialect::readReport(head, R"({"state":7,"sequence":0})")->leaving);
     EXPECT_EQ(SiteDialect::readReport(head, R"({"born":1767883170666,"sequence":0})")->born, 1767883170666U);
     EXPECT_FALSE(SiteDialect::readReport(head, R"({"born":"yesterday","sequence":0})"));
@@ -202,15 +203,15 @@
     const auto request = SiteDialect::orderRequest(order, "side-1");
     EXPECT_EQ(request.body, R"({"adapter":"a3","expected":7,"fencing_token":41,"holder":"side-1","model":"daka",)"
                             R"("operation":"unload"})");
-    EXPECT_EQ(valueOf(request, "X-Anvilscale-Expect-Instance"), "i-1");
-    EXPECT_EQ(SiteDialect::readOrderResult(headOf(412, {})), EngineOrderResult::FencedOff);
-    EXPECT_EQ(SiteDialect::readOrderResult(headOf(409, {})), EngineOrderResult::Conflict);
-    EXPECT_EQ(SiteDialect::readOrderResult(headOf(500, {})), EngineOrderResult::Rejected);
+    EXPECT_EQ(headerValue(request, "X-Anvilscale-Expect-Instance"), "i-1");
+    EXPECT_EQ(SiteDialect::readOrderResult(makeHead(412, {})), EngineOrderResult::FencedOff);
+    EXPECT_EQ(SiteDialect::readOrderResult(makeHead(409, {})), EngineOrderResult::Conflict);
+    EXPECT_EQ(SiteDialect::readOrderResult(makeHead(500, {})), EngineOrderResult::Rejected);
 }
 
-TEST(SiteStore, RecordsOfAPage)
+TEST(SiteStore, PageIsParsed)
 {
-    const auto endpoint = base64(
+    const auto endpoint = encodeBase64(
         R"({"service":"s","address":"10.1.0.40:80","zone":"z","version":"v1","slots":64,"state":"draining",)"
         R"("cold_left_ms":0,"sequence":3,"born":1767883170666,"models":[{"name":"m","version":1,"adapters":["a1@3"]}]})");
     // {"model":"m","adapter":"a1","version":4}
@@ -221,7 +222,7 @@
         + version + R"(","revision":7},{"key":"servers/i-2","value":"e30=","revision":8}],"store_revision":9})");
     ASSERT_TRUE(page);
     EXPECT_EQ(page->revision, 9U);
-    EXPECT_EQ(page->rejected, 1U) << "a record without its fields is passed over and counted";
+    EXPECT_EQ(page->rejected, 1U) << "invalid records are removals and counted";
     ASSERT_EQ(page->records.size(), 4U);
     EXPECT_TRUE(std::get<EndpointRemoved>(page->records[3]).unreadable);
     const auto &record = std::get<EndpointRecord>(page->records[0]);
@@ -238,11 +239,9 @@
     EXPECT_FALSE(SiteDialect::readWatch("<html>"));
 }
 
-// Another program writes below the endpoints' prefix: a field is missing or of another type, a state is unknown, the
-// bytes are no JSON. Taken with defaults such a record draws calls to an address at which nobody listens; taken for
-// nothing it leaves an endpoint in use whose record it has written over. It removes what its key named before, and the
-// other records of its page hold.
-TEST(SiteStore, ARecordOfAnotherWriterNamesNoEndpointAndHidesNone)
+// Guards against endpoint records of other programs: an invalid record must not route calls to its address, must
+// remove the endpoint stored under its key before, and must not hide other records of its page.
+TEST(SiteStore, InvalidRecordRemovesOnlyItsEndpoint)
 {
     const std::vector<std::pair<std::string, std::string>> changes{
         {R"("service":"s")", R"("service":7)"},
@@ -266,28 +265,28 @@
         {R"("models":[])", R"("models":[{"name":5}])"},
         {R"({"service")", R"(["service")"},
     };
-    const std::string good = R"({"service":"s","address":"10.1.0.40:80","zone":"z","version":"v1","slots":64,)"
-                             R"("state":"ready","cold_left_ms":0,"sequence":3,"born":17,"models":[]})";
+    const std::string validRecord = R"({"service":"s","address":"10.1.0.40:80","zone":"z","version":"v1","slots":64,)"
+                                    R"("state":"ready","cold_left_ms":0,"sequence":3,"born":17,"models":[]})";
     for (const auto &[from, to] : changes) {
-        auto bad = good;
-        bad.replace(bad.find(from), from.size(), to);
+        auto invalidRecord = validRecord;
+        invalidRecord.replace(invalidRecord.find(from), from.size(), to);
         const auto page =
-            SiteDialect::readRange(R"({"items":[{"key":"servers/i-1","value":")" + base64(bad) + R"("},7,)"
-                                   + R"({"key":"servers/i-2","value":"*"},{"key":"servers/i-3","value":")"
-                                   + base64(good) + R"("}],"store_revision":9})");
-        ASSERT_TRUE(page) << bad;
-        EXPECT_EQ(page->rejected, 3U) << bad;
-        ASSERT_EQ(page->records.size(), 3U) << bad;
+            SiteDialect::readRange(R"({"items":[{"key":"servers/i-1","value":")" + encodeBase64(invalidRecord)
+                                   + R"("},7,)" + R"({"key":"servers/i-2","value":"*"},{"key":"servers/i-3","value":")"
+                                   + encodeBase64(validRecord) + R"("}],"store_revision":9})");
+        ASSERT_TRUE(page) << invalidRecord;
+        EXPECT_EQ(page->rejected, 3U) << invalidRecord;
+        ASSERT_EQ(page->records.size(), 3U) << invalidRecord;
         for (const std::size_t i : {0U, 1U}) {
             const auto *removed = std::get_if<EndpointRemoved>(&page->records[i]);
-            ASSERT_NE(removed, nullptr) << bad;
+            ASSERT_NE(removed, nullptr) << invalidRecord;
             EXPECT_TRUE(removed->unreadable);
         }
         EXPECT_EQ(std::get<EndpointRecord>(page->records[2]).id, "i-3");
     }
 }
 
-TEST(SiteStore, ConfigurationOfEnginesAndStreams)
+TEST(SiteStore, ConfigurationIsParsed)
 {
     // {"version":7,"routes":[{"name":"r","hostname":"H.example","prefix":"/a/","type":"streaming","timeout_ms":600
     // 0,"target_latency_ms":1000,"priority":1,"service":"s","max_attempts":2,"resumable":true,"target_gap_ms":400}
@@ -309,14 +308,14 @@
     const auto &route = read.routes.front();
     EXPECT_EQ(route.host, "h.example");
     EXPECT_TRUE(route.resumable);
-    EXPECT_EQ(route.firstByteLimit, Seconds(4)) << "four times the objective is the longest of the three";
+    EXPECT_EQ(route.firstByteLimit, Seconds(4)) << "four times the objective is the maximum of the three";
     ASSERT_NE(read.model("s", "m"), nullptr);
     EXPECT_EQ(read.model("s", "m")->reload, Milliseconds(570));
-    EXPECT_EQ(read.model("s", "n")->reload, Milliseconds(2100)) << "without a time from the disk, that from the store";
+    EXPECT_EQ(read.model("s", "n")->reload, Milliseconds(2100)) << "without disk_load_s, load_s applies";
     EXPECT_EQ(read.model("s", "o"), nullptr);
 }
 
-TEST(SiteStore, CrashReportsAreReadAsTheyWereWritten)
+TEST(SiteStore, CrashReportsRoundTrip)
 {
     const CrashReport report{"i-1", 1767883170666U, {CallFingerprint{0xfedcba9876543210U}, CallFingerprint{7}}};
     const auto request = SiteDialect::crashReportsRequest({{"entry-1-5-0", report}, {"entry-1-5-1", {}}}, 77);
@@ -339,14 +338,14 @@
     EXPECT_EQ(read.suspects, report.suspects);
 }
 
-TEST(SiteStore, ALeaseIsReadOrIsNone)
+TEST(SiteStore, LeaseIsReadOrRejected)
 {
     EXPECT_EQ(SiteDialect::readLease(R"({"lease":77120,"ttl_ms":3000})"), 77120U);
     EXPECT_FALSE(SiteDialect::readLease("<html>"));
     EXPECT_FALSE(SiteDialect::readLease("{}"));
 }
 
-TEST(SiteStore, StatusesOfTheStore)
+TEST(SiteStore, StatusesAndErasAreRead)
 {
     EXPECT_EQ(SiteDialect::storeStatus(200), StoreStatus::Ok);
     EXPECT_EQ(SiteDialect::storeStatus(410), StoreStatus::HistoryGone);
