--- a/include/anvilscale/net.h
+++ b/include/anvilscale/net.h
@@ -1,6 +1,4 @@
-// Net library: sockets and threads for everything else. An event loop over POCO's sockets, the HTTP server towards
-// callers, the pieces of HTTP that client and server share, the check of a caller's JSON body, and the messenger
-// that carries envelopes between our processes over ZeroMQ. No decision is made here.
+// Network library: event loop, HTTP server and client, model call bodies, and messaging over ZeroMQ.
 #pragma once
 
 #include "wire.pb.h"
@@ -22,32 +20,34 @@
 
 // ---- event loop
 
-/// One thread that waits for sockets, timers and posted tasks. All callbacks run in that thread.
+/// A thread that waits for sockets, timers and posted tasks. All callbacks run on this thread.
 class EventLoop
 {
 public:
     using Task = std::function<void()>;
-    /// `ready` is a set of Poco::Net::PollSet modes.
-    using Ready = std::function<void(int ready)>;
+    /// `modes` is a set of Poco::Net::PollSet modes.
+    using ReadyHandler = std::function<void(int modes)>;
 
     /// Starts the thread.
     explicit EventLoop(const std::string &name);
-    /// Stops it.
+    /// Stops the thread.
     ~EventLoop();
     EventLoop(const EventLoop &) = delete;
     EventLoop &operator=(const EventLoop &) = delete;
 
-    /// Runs `task` in the loop's thread, after the tasks posted before and after the sockets at hand. Any thread.
+    /// Runs `task` on the loop's thread, after the tasks posted before it and the sockets that are ready. Callable
+    /// from any thread.
     void post(Task task);
-    /// Ends the loop after the tasks posted so far and waits for its thread. Not from the loop's thread.
+    /// Runs the tasks posted so far, ends the loop and joins its thread. Must not be called on the loop's thread.
     void stop();
 
-    // From here on: the loop's thread only.
-    /// Calls `ready` whenever the socket is ready for one of `mode`; 0 keeps the socket without waiting for it.
-    void watch(const Poco::Net::Socket &socket, int mode, Ready ready);
-    void update(const Poco::Net::Socket &socket, int mode);
-    /// Before the socket is closed.
-    void forget(const Poco::Net::Socket &socket);
+    // The functions below must be called on the loop's thread.
+    /// Calls `handler` whenever the socket is ready for one of `modes`. 0 registers the socket without waiting for
+    /// it.
+    void watch(const Poco::Net::Socket &socket, int modes, ReadyHandler handler);
+    void update(const Poco::Net::Socket &socket, int modes);
+    /// Unregisters the socket. Must be called before the socket is closed.
+    void unwatch(const Poco::Net::Socket &socket);
     TimerService &timers();
     static TimePoint now();
 
@@ -56,28 +56,28 @@
     std::unique_ptr<Impl> impl_;
 };
 
-/// Writes what the socket takes without waiting: how many bytes, 0 if it takes none now, no value if it is broken.
-/// POCO's own call throws one exception for a full socket and for a broken one.
-std::optional<std::size_t> sendSome(const Poco::Net::Socket &socket, std::string_view data);
+/// Writes as many bytes as possible without blocking. Returns the number written (0 if the send buffer is full), or
+/// nullopt if the connection is broken. POCO's own call throws the same exception in both cases.
+std::optional<std::size_t> trySend(const Poco::Net::Socket &socket, std::string_view data);
 
-/// Both clocks of the operating system. Only daemons and tests with real processes read it.
+/// Reads the monotonic and the wall clock of the operating system. For daemons and tests with real processes only.
 Now readClocks();
 
 // ---- HTTP
 
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-/// Looks a header up without regard to case; nullptr if it is not there.
+/// Returns the value of a header, matched case-insensitively; nullptr if it is absent.
 const std::string *findHeader(const HttpHeaders &headers, std::string_view name);
-/// True for headers that belong to one connection and are never passed on.
+/// True for hop-by-hop headers, which are never forwarded.
 bool isHopByHop(std::string_view name);
 
-/// What is wrong with a message of a caller or an endpoint.
+/// Why an HTTP message was rejected.
 enum class HttpProblem : std::uint8_t {
     None,
     BadHead,
     HeadTooLarge,
-    BadBody, ///< framing of the body
+    BadBody, ///< invalid framing
     BodyTooLarge,
     UnsupportedEncoding, ///< a Transfer-Encoding other than chunked
     ExpectationFailed,
@@ -101,10 +101,10 @@
                                                                                 "connection_limit"};
 };
 
-/// Status code of the answer to a caller whose message has this problem.
+/// Status code of the response to a message rejected for this reason.
 std::uint32_t statusOf(HttpProblem problem);
 
-/// Takes a message body out of a byte stream: by length, in chunks, or until the connection closes.
+/// Incremental parser of a message body that is framed by its length, in chunks, or by the end of the connection.
 class HttpBodyReader
 {
 public:
@@ -116,10 +116,10 @@
     };
     HttpBodyReader() = default;
     HttpBodyReader(Framing framing, std::uint64_t length);
-    /// Appends body bytes from `in` to `out` and returns how many bytes of `in` were used.
-    std::size_t take(std::string_view in, std::string &out);
-    bool done() const;
-    bool broken() const;
+    /// Appends body bytes from `in` to `out`. Returns the number of bytes of `in` that were consumed.
+    std::size_t read(std::string_view in, std::string &out);
+    bool isDone() const;
+    bool isBroken() const;
     Framing framing() const;
 
 private:
@@ -131,25 +131,25 @@
         Done,
         Broken
     };
-    std::size_t takeLine(std::string_view in);
-    void onLine();
+    std::size_t readLine(std::string_view in);
+    void processLine();
 
     Framing framing_ = Framing::Length;
     Step step_ = Step::Done;
-    std::uint64_t left_ = 0; // bytes of the body, or of the present chunk, still to come
-    std::string line_; // chunk size or trailer line read so far
+    std::uint64_t remainingBytes_ = 0; // of the body or the current chunk
+    std::string line_; // partial chunk size or trailer line
     std::size_t trailerBytes_ = 0;
 };
 
-/// Head of a request, and its body once it is whole.
+/// A request. `body` is filled once it has been received completely.
 struct HttpRequestData
 {
     std::string method;
-    std::string target; ///< path and query as the caller wrote them
+    std::string target; ///< path and query, unmodified
     HttpHeaders headers;
     std::string body;
     bool keepAlive = true;
-    bool chunkedAnswers = true; ///< the caller speaks HTTP/1.1
+    bool acceptsChunked = true; ///< true for HTTP/1.1 requests
 };
 
 struct HttpResponseHead
@@ -160,21 +160,21 @@
     HttpBodyReader body;
 };
 
-/// Reads a whole head (up to and with the empty line). Refuses what two readers could understand differently.
+/// Parses a complete head, including the final empty line. Rejects ambiguous heads, which allow request smuggling.
 tl::expected<std::pair<HttpRequestData, HttpBodyReader>, HttpProblem> parseRequestHead(std::string_view head,
-                                                                                       std::uint64_t bodyLimit);
-/// `bodyless`: answer to a HEAD request.
-tl::expected<HttpResponseHead, HttpProblem> parseResponseHead(std::string_view head, bool bodyless);
-/// A request's head with Content-Length for `bodyBytes`.
-std::string requestHead(std::string_view method, std::string_view target, std::string_view host,
-                        const HttpHeaders &headers, std::size_t bodyBytes, bool keepAlive);
-/// Bytes of `buffer` up to the end of the first head; 0 if that is not there yet.
+                                                                                       std::uint64_t maxBodyBytes);
+/// `isHeadRequest`: the response to a HEAD request, which has no body.
+tl::expected<HttpResponseHead, HttpProblem> parseResponseHead(std::string_view head, bool isHeadRequest);
+/// Formats the head of a request with a body of `bodyBytes` bytes.
+std::string formatRequestHead(std::string_view method, std::string_view target, std::string_view host,
+                              const HttpHeaders &headers, std::size_t bodyBytes, bool keepAlive);
+/// Returns the length in bytes of the first head in `buffer`, including its empty line; 0 if it is incomplete.
 std::size_t headLength(std::string_view buffer);
 
-/// One request of one caller's connection. Zero is none.
+/// Identifies one request on a caller's connection; 0 if none.
 using HttpExchange = Handle<struct HttpExchangeTag>;
 
-/// A whole answer.
+/// A complete response.
 struct HttpReply
 {
     std::uint32_t status = 200;
@@ -200,7 +200,7 @@
 {
     NetErrorKind kind = NetErrorKind::Failed;
     std::string address;
-    std::string detail; ///< for people
+    std::string detail; ///< human-readable description
 };
 
 struct HttpServerInit
@@ -213,9 +213,9 @@
     std::uint32_t connectionLimit = 1024;
     Duration headTimeout = Seconds(10);
     Duration bodyTimeout = Seconds(30);
-    Duration idleTimeout = Seconds(60); ///< of a kept connection without a request
-    Duration writeTimeout = Seconds(10); ///< a reader that takes nothing for this long is cut
-    std::size_t holdBytes = 32U << 10; ///< of an unstreamed answer kept back until it is known to be whole
+    Duration idleTimeout = Seconds(60); ///< of a keep-alive connection without a request
+    Duration writeTimeout = Seconds(10); ///< a connection that accepts no bytes for this long is closed
+    std::size_t holdBytes = 32U << 10; ///< of a non-streamed response, buffered until it is known to be complete
 };
 
 struct HttpServerStats
@@ -227,21 +227,21 @@
     std::uint32_t open = 0;
 };
 
-/// HTTP/1.1 server without a thread for each connection. Requests of one connection are handed over one at a time,
-/// in order; what a caller sends ahead waits in a bounded buffer. Memory of a connection is bounded by the limits
-/// and by what its handler sends ahead of onTaken.
+/// HTTP/1.1 server that multiplexes its connections over a few threads. Requests of a connection are dispatched one
+/// at a time, in order; pipelined requests wait in a bounded buffer. The memory of a connection is bounded by the
+/// limits and by the data its handler sends before bytesSent confirms it.
 class HttpServer
 {
 public:
     struct Handlers
     {
-        /// A whole request. Traffic thread.
+        /// A complete request. Called on a traffic thread.
         std::function<void(HttpExchange, HttpRequestData)> request;
-        /// The caller left, or was cut, before its answer ended. Traffic thread.
+        /// The caller disconnected, or was disconnected, before its response ended. Called on a traffic thread.
         std::function<void(HttpExchange, FailureReason)> gone;
-        /// The caller's connection has taken `bytes` more of the body. Traffic thread.
+        /// `bytes` more of the body were written to the caller's connection. Called on a traffic thread.
         std::function<void(HttpExchange, std::uint64_t bytes)> taken;
-        /// The answer to a message that cannot be read.
+        /// Returns the response to a rejected message.
         std::function<HttpReply(HttpProblem)> problem;
     };
 
@@ -251,30 +251,32 @@
     HttpServer &operator=(const HttpServer &) = delete;
 
     std::uint16_t port() const;
-    /// Accepting starts here, so that nothing is taken before all parts are there.
+    /// Starts accepting connections. Separate from create(), so that no request arrives before all parts are set up.
     void start();
-    /// From now on each answer closes its connection; the listener stays open. First step of a drain, so that callers
-    /// who are sent here before the balancer has noticed are still served.
+    /// Closes each connection after its next response; the listener stays open. First step of a drain: serves callers
+    /// that the load balancer still routes here.
     void closeAfterAnswers();
-    /// The listener closes; idle connections close; exchanges in progress go on. `idle` is called once all are done.
-    void drain(std::function<void()> idle);
+    /// Closes the listener and all idle connections; exchanges in progress continue. Calls `onDrained` once no
+    /// connection is open.
+    void drain(std::function<void()> onDrained);
     void shutdown();
 
-    // Any thread. Calls for an exchange that has ended are ignored.
+    // Callable from any thread. Calls for an exchange that has ended are ignored.
     void reply(HttpExchange exchange, HttpReply reply);
-    /// Begins an answer that comes in parts. An event stream is passed on event by event.
+    /// Starts a response that is sent in parts. An event stream is forwarded in complete events.
     void begin(HttpExchange exchange, std::uint32_t status, HttpHeaders headers);
     void send(HttpExchange exchange, std::string data);
     void finish(HttpExchange exchange);
-    /// Ends an answer in an error: as `reply` if the caller has seen nothing yet, else as an error event with the
-    /// same body in an event stream, else by cutting the connection.
+    /// Ends the response with an error: sends `reply` if nothing has been sent yet, otherwise an error event with the
+    /// same body on an event stream, otherwise closes the connection.
     void fail(HttpExchange exchange, HttpReply reply);
-    /// Ends an answer that cannot be completed: as `reply` if the caller has seen nothing yet, else by cutting the
-    /// connection, so that what has gone out cannot be taken for a whole answer.
+    /// Ends a response that cannot be completed: sends `reply` if nothing has been sent yet, otherwise closes the
+    /// connection, so that the caller cannot accept the truncated response as complete.
     void cut(HttpExchange exchange, HttpReply reply);
-    /// Limits for what is read from now on.
-    void updateLimits(std::uint32_t headLimit, std::uint64_t bodyLimit, Duration headTimeout, Duration idleTimeout);
-    /// Loop of the first traffic thread, for clients that belong to the same traffic.
+    /// Sets the limits for everything read from now on.
+    void updateLimits(std::uint32_t maxHeadBytes, std::uint64_t maxBodyBytes, Duration headTimeout,
+                      Duration idleTimeout);
+    /// Event loop of the first traffic thread, for HTTP clients that serve the same calls.
     EventLoop &loop();
 
     HttpServerStats stats() const;
@@ -287,35 +289,35 @@
 
 // ---- HTTP client
 
-/// A request as it goes to an endpoint or to the platform.
+/// A request to an endpoint or to the platform.
 struct EndpointRequest
 {
     std::string method = "GET";
     std::string target = "/";
-    std::string host; ///< empty: the address it is sent to
+    std::string host; ///< the address it is sent to if empty
     HttpHeaders headers;
     std::string body;
-    bool freshConnection = false; ///< never on a kept connection, which the endpoint may be closing just now
+    bool freshConnection = false; ///< never reuses an idle connection, which the endpoint may be closing
 };
 
-/// How an exchange with the endpoint ended.
+/// Outcome of an exchange with an endpoint.
 enum class ExchangeEnd : std::uint8_t {
     Complete,
-    Unreachable, ///< the connection was refused or could not be made: no byte was sent
-    Broken, ///< bytes may have been sent; the answer is not whole
-    CancelConfirmed, ///< after a cancel the endpoint closed its side, or ended its answer
+    Unreachable, ///< connection refused or not established: no byte was sent
+    Broken, ///< bytes may have been sent; the response is incomplete
+    CancelConfirmed, ///< after a cancel the endpoint closed its side or ended its response
     CancelUnconfirmed,
     Count
 };
 
 using ExchangeId = std::uint64_t;
 
-/// One request and its answer. Callbacks may cancel, pause or start other exchanges.
+/// Callbacks of one exchange. They may cancel, pause or start exchanges.
 struct ExchangeHandlers
 {
     std::function<void(const HttpResponseHead &)> head;
     std::function<void(std::string)> data;
-    std::function<void(ExchangeEnd)> end; ///< last call
+    std::function<void(ExchangeEnd)> end; ///< always the last callback
 };
 
 struct HttpClientInit
@@ -323,9 +325,9 @@
     std::string address; ///< "IP:PORT"
     Duration connectTimeout{};
     Duration cancelGrace{};
-    Duration keepIdle = Milliseconds(900); ///< a kept connection is used again up to this age
-    /// Where the server tells in Keep-Alive how long it keeps an idle connection, that time less this margin goes
-    /// before keepIdle. Zero: what the server tells is not used.
+    Duration keepIdle = Milliseconds(900); ///< an idle connection is reused up to this age
+    /// If the server sends a Keep-Alive timeout, that timeout less this margin is used instead of maxIdleTime. 0
+    /// ignores the header.
     Duration keepMargin{};
     std::size_t keepConnections = 64;
 };
@@ -337,7 +339,8 @@
     std::uint64_t connectFailures = 0;
 };
 
-/// HTTP/1.1 client for one address. Tells exactly how far a request got. Lives in the thread of its loop.
+/// HTTP/1.1 client for one address. Reports whether a request was certainly not sent or may have been. Must be used
+/// on its loop's thread.
 class HttpClient
 {
 public:
@@ -346,14 +349,15 @@
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /// A zero `timeout` is none. At the timeout the exchange ends as Broken (Unreachable before it was connected).
+    /// Starts an exchange; 0 as `timeout` means none. On timeout the exchange ends as Broken, or as Unreachable if no
+    /// connection was established.
     ExchangeId start(const EndpointRequest &request, Duration timeout, ExchangeHandlers handlers);
-    /// Closes our side, then waits for the endpoint to close its own as the proof that it has stopped.
+    /// Closes the sending side, then waits for the endpoint to close its own, which confirms that it has stopped.
     void cancel(ExchangeId id);
-    /// Closes the connection at once and forgets the exchange: none of its handlers is called any more.
+    /// Resets the connection at once and discards the exchange: none of its handlers is called again.
     void abort(ExchangeId id);
-    void pause(ExchangeId id, bool paused);
-    /// Closes the connections that are kept for later exchanges; those in use go on.
+    void pause(ExchangeId id, bool isPaused);
+    /// Closes all idle connections; those in use are not affected.
     void dropIdle();
     const HttpClientCounts &counts() const;
 
@@ -371,8 +375,8 @@
     TooDeep,
     NotObject,
     ModelMissing,
-    MemberTwice, ///< a top-level member stands twice, or its name is written with escapes
-    WrongType, ///< a known field has another type
+    MemberTwice, ///< a top-level member occurs twice, or its name is written with escapes
+    WrongType, ///< a known field has the wrong type
     Count
 };
 template<>
@@ -382,31 +386,31 @@
         "none", "not_json", "not_utf8", "too_deep", "not_object", "model_missing", "member_twice", "wrong_type"};
 };
 
-/// What the entry needs to know of a model call's body.
-struct ModelCallFacts
+/// Fields of a model call's body that the entry uses.
+struct ModelCallInfo
 {
     std::string model;
     bool stream = false;
-    std::uint32_t maxTokens = 0; ///< 0: not told
+    std::uint32_t maxTokens = 0; ///< 0 if unknown
     std::uint32_t promptTokens = 0; ///< estimate
-    std::uint64_t prefixHash = 0; ///< of the prompt's opening
+    std::uint64_t prefixHash = 0; ///< hash of the beginning of the prompt; 0 if there is none
 };
 
-tl::expected<ModelCallFacts, BodyProblem> readModelCall(std::string_view body, std::uint32_t depthLimit);
-/// The body with another value of the top-level "model" and, if `priority` is given, of "priority"; all other bytes
-/// stay as they are. `body` must have passed readModelCall.
+tl::expected<ModelCallInfo, BodyProblem> readModelCall(std::string_view body, std::uint32_t maxDepth);
+/// Returns the body with "model" and, if given, "priority" replaced at the top level; all other bytes are unchanged.
+/// `body` must have passed readModelCall().
 std::string rewriteModelCall(std::string_view body, std::string_view model, std::optional<int> priority);
 
 // ---- messages between processes
 
-/// Why a message was dropped. Each has a counter.
+/// Why a message was dropped. Each reason has a counter.
 enum class MessageDrop : std::uint8_t {
     TooLarge,
     NotParsed,
     WrongProtocol,
     NoBody,
-    QueueFull, ///< more waits to be sent than allowed
-    PeerBusy, ///< the peer takes no more
+    QueueFull, ///< more bytes are queued than allowed
+    PeerBusy, ///< the send queue of the peer is full
     PeerGone,
     Count
 };
@@ -417,11 +421,11 @@
         "too_large", "not_parsed", "wrong_protocol", "no_body", "queue_full", "peer_busy", "peer_gone"};
 };
 
-/// By what a connection is known to have gone silent.
+/// How the loss of a connection without a reset is detected.
 enum class LifeSign : std::uint8_t {
-    Heartbeats, ///< of ZeroMQ, in both directions
-    /// The kernel's keep-alive probes, which cost the processes nothing. A target that has sent something is taken to
-    /// send several times within `silence` from then on.
+    Heartbeats, ///< ZeroMQ heartbeats in both directions
+    /// TCP keep-alive probes of the kernel, at no cost to the processes. A target that has sent a message must send
+    /// several more within each silence timeout, or its connection is closed.
     KeepAlive,
     Count
 };
@@ -433,11 +437,11 @@
     std::string name;
     std::uint64_t incarnation = 0;
     Duration heartbeat = Milliseconds(500);
-    Duration silence = Milliseconds(2500); ///< a connection that shows no sign of life for this long is closed
+    Duration silence = Milliseconds(2500); ///< a connection without proof of liveness for this long is closed
     LifeSign lifeSign = LifeSign::Heartbeats;
-    std::size_t messageLimit = 16U << 20;
-    std::size_t queueBytes = 64U << 20; ///< of all messages that wait to be sent
-    std::size_t connectQueue = 64; ///< messages that may wait for a connection to come up
+    std::size_t maxMessageBytes = 16U << 20;
+    std::size_t maxQueuedBytes = 64U << 20; ///< of all messages waiting to be sent
+    std::size_t maxConnectQueue = 64; ///< messages that may wait for a connection to be established
 };
 
 struct MessengerStats
@@ -449,23 +453,23 @@
     std::uint64_t receivedBytes = 0;
 };
 
-/// Envelopes over ZeroMQ: one ROUTER that is bound, and a DEALER for each process that this one connects to. One
-/// thread owns the sockets. A connection that breaks is replaced by a new one under a new identity, so that nothing
-/// of an old conversation can arrive in the next.
+/// Exchanges envelopes over ZeroMQ: one bound ROUTER, and a DEALER for each process that this one connects to. One
+/// thread owns the sockets. A broken connection is replaced by one with a new identity, so that no message of the old
+/// connection arrives on the new one.
 class Messenger
 {
 public:
-    /// All called in the messenger's thread; they must not block.
+    /// All are called on the messenger's thread and must not block.
     struct Handlers
     {
-        /// From a process that connected to us.
+        /// Message from a process that connected to this one.
         std::function<void(PeerHandle, wire::Envelope &&)> fromPeer;
         std::function<void(PeerHandle)> peerLost;
-        /// From a process that we connected to.
+        /// Message from a process that this one connected to.
         std::function<void(const std::string &name, wire::Envelope &&)> fromTarget;
         std::function<void(const std::string &name)> targetUp;
         std::function<void(const std::string &name)> targetLost;
-        /// A call request was certainly not sent. A request that may have been sent is never reported here.
+        /// A call request was certainly not sent. Requests that may have been sent are never reported here.
         std::function<void(const std::string &name, const wire::AttemptId &)> sendFailed;
     };
 
@@ -476,17 +480,17 @@
 
     std::uint16_t port() const;
     void start();
-    /// Sends what is queued, for a short time, and closes. No handler is called afterwards.
+    /// Sends queued messages for a short time, then closes. No handler is called afterwards.
     void shutdown();
 
-    // Any thread.
-    /// Connects to "IP:PORT" under this name; another address replaces the connection.
+    // Callable from any thread.
+    /// Connects to `address` ("IP:PORT") under this name. A different address replaces the connection.
     void connectTo(const std::string &name, const std::string &address);
     void disconnectFrom(const std::string &name);
     void sendTo(PeerHandle peer, const wire::Envelope &message);
     void sendTo(const std::string &name, const wire::Envelope &message);
-    /// Forgets a peer that is taken for dead.
-    void forgetPeer(PeerHandle peer);
+    /// Discards the state of a peer that is considered failed.
+    void dropPeer(PeerHandle peer);
     MessengerStats stats() const;
 
 private:
--- a/src/net/caller_connection.cpp
+++ b/src/net/caller_connection.cpp
@@ -1,4 +1,4 @@
-// State machine of one caller's connection.
+// State machine of a caller's connection.
 #include "caller_connection.h"
 
 #include <Poco/Net/NetException.h>
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr std::size_t readSize = 16U << 10;
-constexpr std::string_view continueLine = "HTTP/1.1 100 Continue\r\n\r\n";
-constexpr Duration lingerTime = Seconds(1);
+constexpr std::size_t maxReadBytes = 16U << 10;
+constexpr std::string_view continueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
+constexpr Duration lingerTimeout = Seconds(1);
 constexpr int readMode = Poco::Net::PollSet::POLL_READ;
 constexpr int writeMode = Poco::Net::PollSet::POLL_WRITE;
 constexpr int errorMode = Poco::Net::PollSet::POLL_ERROR;
@@ -27,8 +27,8 @@
 {
     socket_.setBlocking(false);
     socket_.setNoDelay(true);
-    interest_ = readMode | errorMode;
-    context_.loop->watch(socket_, interest_, [this](int mode) { onReady(mode); });
+    pollModes_ = readMode | errorMode;
+    context_.loop->watch(socket_, pollModes_, [this](int mode) { onReady(mode); });
     setDeadline(context_.init->headTimeout, HttpProblem::HeadTimeout);
 }
 
@@ -37,7 +37,7 @@
     clearDeadline();
     context_.loop->timers().cancel(writeTimer_);
     if (state_ != State::Closed) {
-        context_.loop->forget(socket_);
+        context_.loop->unwatch(socket_);
         socket_.close();
     }
 }
@@ -50,64 +50,64 @@
 void CallerConnection::onReady(int mode)
 {
     if ((mode & writeMode) != 0) {
-        flush();
+        writeOutput();
     }
     if (state_ != State::Closed && (mode & (readMode | errorMode)) != 0) {
         readAvailable();
     }
     if (state_ == State::Closed) {
-        context_.closed(id_); // destroys this
+        context_.onClosed(id_); // destroys this
     }
 }
 
 void CallerConnection::readAvailable()
 {
-    std::array<char, readSize> buffer; // NOLINT(cppcoreguidelines-pro-type-member-init): filled by the read
-    int got = 0;
+    std::array<char, maxReadBytes> buffer; // NOLINT(cppcoreguidelines-pro-type-member-init): filled by the read
+    int received = 0;
     try {
-        got = socket_.receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
+        received = socket_.receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
     } catch (const Poco::Exception &) {
-        lost(FailureReason::CallerGone);
+        onDisconnected(FailureReason::CallerGone);
         return;
     }
-    if (got < 0) {
-        return; // nothing there
+    if (received < 0) {
+        return; // no data available
     }
-    if (got == 0) {
-        // A caller that has closed its side for writing cannot be told from one that left: both are taken as gone,
-        // because the engine must not work for callers that no longer listen.
-        lost(FailureReason::CallerGone);
+    if (received == 0) {
+        // A half-closed connection cannot be told from a closed one. Both count as a disconnect, so that no engine
+        // works for callers that have left.
+        onDisconnected(FailureReason::CallerGone);
         return;
     }
     if (state_ == State::Draining || state_ == State::Closing) {
         return;
     }
-    input_.append(buffer.data(), static_cast<std::size_t>(got));
-    process();
-    updateInterest();
+    input_.append(buffer.data(), static_cast<std::size_t>(received));
+    processInput();
+    updatePollModes();
 }
 
-void CallerConnection::process()
+void CallerConnection::processInput()
 {
-    bool more = true;
-    while (more) {
-        more = state_ == State::Head ? processHead() : state_ == State::Body && processBody();
+    bool hasMore = true;
+    while (hasMore) {
+        hasMore = state_ == State::Head ? processHead() : state_ == State::Body && processBody();
     }
 }
 
 bool CallerConnection::processHead()
 {
-    // Empty lines between requests are allowed for (RFC 9112, 2.2).
+    // Empty lines before a request are ignored (RFC 9112, 2.2).
     while (input_.starts_with("\r\n")) {
         input_.erase(0, 2);
     }
     const auto length = headLength(input_);
     if (length > context_.init->headLimit || (length == 0 && input_.size() > context_.init->headLimit)) {
-        problem(HttpProblem::HeadTooLarge);
+        rejectMessage(HttpProblem::HeadTooLarge);
         return false;
     }
     if (length == 0) {
-        if (!input_.empty() && deadlineProblem_ != HttpProblem::HeadTimeout) {
+        if (!input_.empty() && deadlineError_ != HttpProblem::HeadTimeout) {
             setDeadline(context_.init->headTimeout, HttpProblem::HeadTimeout);
         }
         return false;
@@ -115,73 +115,73 @@
     auto parsed = parseRequestHead(std::string_view(input_).substr(0, length), context_.init->bodyLimit);
     input_.erase(0, length);
     if (!parsed) {
-        problem(parsed.error());
+        rejectMessage(parsed.error());
         return false;
     }
     request_ = std::move(parsed->first);
     bodyReader_ = parsed->second;
     state_ = State::Body;
     setDeadline(context_.init->bodyTimeout, HttpProblem::BodyTimeout);
-    if (!bodyReader_.done() && input_.empty() && findHeader(request_->headers, "Expect") != nullptr) {
-        output_.append(continueLine);
-        flush();
+    if (!bodyReader_.isDone() && input_.empty() && findHeader(request_->headers, "Expect") != nullptr) {
+        output_.append(continueResponse);
+        writeOutput();
     }
     return true;
 }
 
 bool CallerConnection::processBody()
 {
-    const auto used = bodyReader_.take(input_, request_->body);
-    input_.erase(0, used);
-    if (bodyReader_.broken()) {
-        problem(HttpProblem::BadBody);
+    const auto consumed = bodyReader_.read(input_, request_->body);
+    input_.erase(0, consumed);
+    if (bodyReader_.isBroken()) {
+        rejectMessage(HttpProblem::BadBody);
         return false;
     }
     if (request_->body.size() > context_.init->bodyLimit) {
-        problem(HttpProblem::BodyTooLarge);
+        rejectMessage(HttpProblem::BodyTooLarge);
         return false;
     }
-    if (!bodyReader_.done()) {
+    if (!bodyReader_.isDone()) {
         return false;
     }
-    dispatch();
+    dispatchRequest();
     return false;
 }
 
-void CallerConnection::dispatch()
+void CallerConnection::dispatchRequest()
 {
     clearDeadline();
     state_ = State::Answering;
     auto request = std::move(*request_);
     request_.reset();
-    const bool keep = request.keepAlive && !context_.draining;
-    answer_.emplace(keep, request.chunkedAnswers, request.method == "HEAD", context_.init->holdBytes);
-    end_ = AnswerEnd::Open;
+    const bool isKeptAlive = request.keepAlive && !context_.isDraining;
+    answer_.emplace(isKeptAlive, request.acceptsChunked, request.method == "HEAD", context_.init->holdBytes);
+    answerEnd_ = AnswerEnd::Open;
     exchange_ = context_.newExchange(id_);
     context_.handlers->request(exchange_, std::move(request));
 }
 
-void CallerConnection::afterAnswer()
+void CallerConnection::onAnswerChanged()
 {
-    moveOutput();
-    if (end_ != AnswerEnd::Open) {
+    collectOutput();
+    if (answerEnd_ != AnswerEnd::Open) {
         context_.endExchange(exchange_);
         exchange_ = HttpExchange{};
         answer_.reset();
         state_ = State::Closing;
     }
-    if (end_ == AnswerEnd::Cut) {
+    if (answerEnd_ == AnswerEnd::Cut) {
         close();
-        context_.closed(id_); // destroys this
+        context_.onClosed(id_); // destroys this
         return;
     }
-    flush();
+    writeOutput();
     if (state_ == State::Closed) {
-        context_.closed(id_); // destroys this
+        context_.onClosed(id_); // destroys this
     }
 }
 
-void CallerConnection::moveOutput()
+void CallerConnection::collectOutput()
 {
     if (output_.empty()) {
         output_.swap(answer_->output());
@@ -189,57 +189,57 @@
         output_.append(answer_->output());
         answer_->output().clear();
     }
-    bodyInOutput_ += answer_->takePassedOn();
-    end_ = answer_->end();
+    unsentBodyBytes_ += answer_->takeForwardedBytes();
+    answerEnd_ = answer_->end();
 }
 
-void CallerConnection::flush()
+void CallerConnection::writeOutput()
 {
-    while (written_ < output_.size()) {
-        const auto sent = sendSome(socket_, std::string_view(output_).substr(written_));
-        if (!sent) {
-            lost(FailureReason::CallerGone);
+    while (writtenBytes_ < output_.size()) {
+        const auto sentBytes = trySend(socket_, std::string_view(output_).substr(writtenBytes_));
+        if (!sentBytes) {
+            onDisconnected(FailureReason::CallerGone);
             return;
         }
-        if (*sent == 0) {
+        if (*sentBytes == 0) {
             break;
         }
-        written_ += *sent;
-        writtenTotal_ += *sent;
-    }
-    const auto waiting = output_.size() - written_;
-    const auto untaken = std::min<std::uint64_t>(bodyInOutput_, waiting);
-    const auto taken = bodyInOutput_ - untaken;
-    bodyInOutput_ = untaken;
-    if (waiting == 0) {
+        writtenBytes_ += *sentBytes;
+        totalWrittenBytes_ += *sentBytes;
+    }
+    const auto pendingBytes = output_.size() - writtenBytes_;
+    const auto remainingBodyBytes = std::min<std::uint64_t>(unsentBodyBytes_, pendingBytes);
+    const auto sentBodyBytes = unsentBodyBytes_ - remainingBodyBytes;
+    unsentBodyBytes_ = remainingBodyBytes;
+    if (pendingBytes == 0) {
         output_.clear();
-        written_ = 0;
+        writtenBytes_ = 0;
     }
-    if (taken != 0 && exchange_) {
-        context_.handlers->taken(exchange_, taken);
+    if (sentBodyBytes != 0 && exchange_) {
+        context_.handlers->taken(exchange_, sentBodyBytes);
     }
-    watchWriting();
-    if (waiting == 0) {
-        afterWritten();
+    updateWriteTimer();
+    if (pendingBytes == 0) {
+        onOutputWritten();
     }
     if (state_ != State::Closed) {
-        updateInterest();
+        updatePollModes();
     }
 }
 
-void CallerConnection::afterWritten()
+void CallerConnection::onOutputWritten()
 {
     if (state_ != State::Closing) {
         return;
     }
-    if (end_ == AnswerEnd::Keep && !context_.draining) {
+    if (answerEnd_ == AnswerEnd::Keep && !context_.isDraining) {
         state_ = State::Head;
         setDeadline(context_.init->idleTimeout, HttpProblem::None);
-        process();
+        processInput();
         return;
     }
-    // A close with unread input makes the kernel reset the connection, and the caller may lose the end of the answer
-    // that it has not read yet. So the sending side is closed first and input is read away for a moment.
+    // Closing a socket with unread input makes the kernel send a reset, which may discard the end of the response. So
+    // only the sending side is closed, and further input is discarded for a short time.
     state_ = State::Draining;
     try {
         socket_.shutdownSend();
@@ -247,35 +247,35 @@
         close();
         return;
     }
-    setDeadline(lingerTime, HttpProblem::None);
+    setDeadline(lingerTimeout, HttpProblem::None);
 }
 
-void CallerConnection::refuse(HttpProblem why)
+void CallerConnection::refuse(HttpProblem reason)
 {
-    problem(why);
+    rejectMessage(reason);
     if (state_ == State::Closed) {
-        context_.closed(id_); // destroys this
+        context_.onClosed(id_); // destroys this
     }
 }
 
-void CallerConnection::problem(HttpProblem why)
+void CallerConnection::rejectMessage(HttpProblem reason)
 {
-    context_.countProblem(why);
+    context_.countError(reason);
     clearDeadline();
-    const bool chunked = true;
-    HttpAnswer answer(false, chunked, false, context_.init->holdBytes);
-    auto reply = context_.handlers->problem(why);
+    const bool acceptsChunked = true;
+    HttpAnswer answer(false, acceptsChunked, false, context_.init->holdBytes);
+    auto reply = context_.handlers->problem(reason);
     reply.close = true;
     answer.reply(reply);
     output_.append(answer.output());
-    end_ = AnswerEnd::Close;
+    answerEnd_ = AnswerEnd::Close;
     state_ = State::Closing;
     request_.reset();
     input_.clear();
-    flush();
+    writeOutput();
 }
 
-void CallerConnection::lost(FailureReason why)
+void CallerConnection::onDisconnected(FailureReason reason)
 {
     if (state_ == State::Closed) {
         return;
@@ -286,7 +286,7 @@
     close();
     if (exchange) {
         context_.endExchange(exchange);
-        context_.handlers->gone(exchange, why);
+        context_.handlers->gone(exchange, reason);
     }
 }
 
@@ -295,69 +295,69 @@
     clearDeadline();
     context_.loop->timers().cancel(writeTimer_);
     writeTimer_ = TimerHandle{};
-    context_.loop->forget(socket_);
+    context_.loop->unwatch(socket_);
     socket_.close();
     state_ = State::Closed;
 }
 
 void CallerConnection::closeIfIdle()
 {
-    const bool idle = state_ == State::Head && input_.empty();
-    if (idle) {
+    const bool isIdle = state_ == State::Head && input_.empty();
+    if (isIdle) {
         close();
-        context_.closed(id_); // destroys this
+        context_.onClosed(id_); // destroys this
     }
 }
 
-void CallerConnection::updateInterest()
+void CallerConnection::updatePollModes()
 {
     if (state_ == State::Closed) {
         return;
     }
-    // Input sent ahead of the answer waits in the socket once a head's worth of it is here.
-    const bool full = state_ == State::Answering && input_.size() > context_.init->headLimit;
-    int wanted = errorMode;
-    wanted |= full ? 0 : readMode;
-    wanted |= written_ < output_.size() ? writeMode : 0;
-    if (wanted != interest_) {
-        interest_ = wanted;
-        context_.loop->update(socket_, wanted);
+    // Pipelined input stays in the socket buffer once input_ exceeds the head limit.
+    const bool isInputFull = state_ == State::Answering && input_.size() > context_.init->headLimit;
+    int modes = errorMode;
+    modes |= isInputFull ? 0 : readMode;
+    modes |= writtenBytes_ < output_.size() ? writeMode : 0;
+    if (modes != pollModes_) {
+        pollModes_ = modes;
+        context_.loop->update(socket_, modes);
     }
 }
 
-void CallerConnection::setDeadline(Duration span, HttpProblem problem)
+void CallerConnection::setDeadline(Duration timeout, HttpProblem error)
 {
     clearDeadline();
-    deadlineProblem_ = problem;
-    deadline_ = context_.loop->timers().subscribe(EventLoop::now() + span, [this](TimePoint) { onDeadline(); });
+    deadlineError_ = error;
+    deadline_ = context_.loop->timers().subscribe(EventLoop::now() + timeout, [this](TimePoint) { onDeadline(); });
 }
 
 void CallerConnection::clearDeadline()
 {
     context_.loop->timers().cancel(deadline_);
     deadline_ = TimerHandle{};
-    deadlineProblem_ = HttpProblem::None;
+    deadlineError_ = HttpProblem::None;
 }
 
 void CallerConnection::onDeadline()
 {
     deadline_ = TimerHandle{};
-    const bool begun = state_ == State::Body || !input_.empty();
-    if (deadlineProblem_ != HttpProblem::None && begun) {
-        problem(deadlineProblem_);
+    const bool hasPartialRequest = state_ == State::Body || !input_.empty();
+    if (deadlineError_ != HttpProblem::None && hasPartialRequest) {
+        rejectMessage(deadlineError_);
     } else {
         close();
     }
     if (state_ == State::Closed) {
-        context_.closed(id_); // destroys this
+        context_.onClosed(id_); // destroys this
     }
 }
 
-// A reader that takes nothing keeps its answer in memory and, by credit, its call at the engine. It is cut once it
-// has taken no byte for the write timeout.
-void CallerConnection::watchWriting()
+// A caller that does not read keeps its response in memory and, through flow control, its call at the engine. It is
+// disconnected once it has read no byte for the write timeout.
+void CallerConnection::updateWriteTimer()
 {
-    if (written_ == output_.size()) {
+    if (writtenBytes_ == output_.size()) {
         context_.loop->timers().cancel(writeTimer_);
         writeTimer_ = TimerHandle{};
         return;
@@ -365,16 +365,16 @@
     if (writeTimer_) {
         return;
     }
-    writtenAtTimer_ = writtenTotal_;
+    writtenAtTimerStart_ = totalWrittenBytes_;
     writeTimer_ = context_.loop->timers().subscribe(EventLoop::now() + context_.init->writeTimeout, [this](TimePoint) {
         writeTimer_ = TimerHandle{};
-        if (writtenTotal_ != writtenAtTimer_) {
-            watchWriting();
+        if (totalWrittenBytes_ != writtenAtTimerStart_) {
+            updateWriteTimer();
             return;
         }
         context_.countSlowReader();
-        lost(FailureReason::SlowReader);
-        context_.closed(id_); // destroys this
+        onDisconnected(FailureReason::SlowReader);
+        context_.onClosed(id_); // destroys this
     });
 }
 
--- a/src/net/caller_connection.h
+++ b/src/net/caller_connection.h
@@ -1,4 +1,4 @@
-// One caller's connection: reads requests one after the other and writes their answers. Lives in one event loop.
+// Connection of one caller: reads requests in sequence and writes their responses. Used on one event loop.
 #pragma once
 
 #include "http_answer.h"
@@ -9,18 +9,18 @@
 
 namespace anvilscale {
 
-/// What a connection needs of its server.
+/// State and callbacks of the server that its connections use.
 struct CallerConnectionContext
 {
     const HttpServerInit *init = nullptr;
     EventLoop *loop = nullptr;
     std::function<HttpExchange(std::uint64_t connection)> newExchange;
     std::function<void(HttpExchange)> endExchange;
-    std::function<void(HttpProblem)> countProblem;
+    std::function<void(HttpProblem)> countError;
     std::function<void()> countSlowReader;
-    std::function<void(std::uint64_t connection)> closed;
+    std::function<void(std::uint64_t connection)> onClosed;
     const HttpServer::Handlers *handlers = nullptr;
-    bool draining = false;
+    bool isDraining = false;
 };
 
 class CallerConnection
@@ -32,47 +32,47 @@
     CallerConnection &operator=(const CallerConnection &) = delete;
 
     void onReady(int mode);
-    /// Applies `change` to the answer of the present exchange and writes what it gave.
+    /// Applies `change` to the response of the current exchange and writes the resulting output.
     template<class Change>
     void answer(Change &&change)
     {
         if (answer_) {
             change(*answer_);
-            afterAnswer();
+            onAnswerChanged();
         }
     }
     HttpExchange exchange() const;
-    /// Closes if no exchange is in progress.
+    /// Closes the connection if no exchange is in progress.
     void closeIfIdle();
-    /// Answers a problem and closes; used for connections over the limit.
-    void refuse(HttpProblem problem);
+    /// Sends an error response and closes; used for connections over the limit.
+    void refuse(HttpProblem reason);
 
 private:
     enum class State : std::uint8_t {
-        Head, ///< waits for a head, or for the rest of one
+        Head, ///< waiting for a complete head
         Body,
         Answering,
-        Closing, ///< the last answer is being written
-        Draining, ///< written and shut; reads away what the caller still sends
+        Closing, ///< the response is complete and being written
+        Draining, ///< written, and the sending side is closed; further input is discarded
         Closed
     };
 
     void readAvailable();
-    void process();
+    void processInput();
     bool processHead();
     bool processBody();
-    void dispatch();
-    void afterAnswer();
-    void moveOutput();
-    void flush();
-    void afterWritten();
-    void problem(HttpProblem problem);
-    void lost(FailureReason why);
+    void dispatchRequest();
+    void onAnswerChanged();
+    void collectOutput();
+    void writeOutput();
+    void onOutputWritten();
+    void rejectMessage(HttpProblem reason);
+    void onDisconnected(FailureReason reason);
     void close();
-    void updateInterest();
-    void setDeadline(Duration span, HttpProblem problem);
+    void updatePollModes();
+    void setDeadline(Duration timeout, HttpProblem error);
     void clearDeadline();
-    void watchWriting();
+    void updateWriteTimer();
     void onDeadline();
 
     std::uint64_t id_;
@@ -81,20 +81,20 @@
     State state_ = State::Head;
     std::string input_; // bounded by the head limit plus one read
     std::string output_;
-    std::size_t written_ = 0; // of output_
-    std::uint64_t bodyInOutput_ = 0; // body bytes passed on but not yet taken by the connection
+    std::size_t writtenBytes_ = 0; // of output_ that are written to the socket
+    std::uint64_t unsentBodyBytes_ = 0; // body bytes of the response that are not yet written to the socket
     std::optional<HttpRequestData> request_;
     HttpBodyReader bodyReader_;
     std::optional<HttpAnswer> answer_;
-    HttpExchange exchange_; // invariant: set exactly in state Answering
-    AnswerEnd end_ = AnswerEnd::Open;
-    bool inputEnded_ = false;
-    int interest_ = 0;
+    HttpExchange exchange_; // invariant: set if and only if state_ is Answering
+    AnswerEnd answerEnd_ = AnswerEnd::Open;
+    bool hasInputEnded_ = false;
+    int pollModes_ = 0;
     TimerHandle deadline_;
-    HttpProblem deadlineProblem_ = HttpProblem::None;
+    HttpProblem deadlineError_ = HttpProblem::None;
     TimerHandle writeTimer_;
-    std::uint64_t writtenTotal_ = 0;
-    std::uint64_t writtenAtTimer_ = 0;
+    std::uint64_t totalWrittenBytes_ = 0;
+    std::uint64_t writtenAtTimerStart_ = 0;
 };
 
 } // namespace anvilscale
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -1,5 +1,5 @@
-// The event loop: epoll over POCO's sockets, a timer service and a queue of tasks with a wake-up. POCO's own poll set
-// has no wake-up in the version at hand and builds a map of sockets at each turn.
+// Event loop over epoll, with timers and a task queue. Replaces Poco::Net::PollSet, which cannot be woken up and
+// builds a map of all sockets on each poll.
 #include "anvilscale/net.h"
 
 #include <Poco/Net/PollSet.h>
@@ -22,39 +22,39 @@
 
 namespace {
 
-constexpr Duration longestWait = Seconds(1);
-constexpr std::size_t threadNameLimit = 15;
-constexpr std::size_t eventsAtOnce = 256;
+constexpr Duration maxWait = Seconds(1);
+constexpr std::size_t maxThreadNameLength = 15;
+constexpr std::size_t maxEventsPerPoll = 256;
 constexpr int fdBits = 32;
 
-std::uint32_t epollModes(int mode)
+std::uint32_t toEpollEvents(int modes)
 {
     using Poco::Net::PollSet;
     std::uint32_t events = 0;
-    events |= (mode & PollSet::POLL_READ) != 0 ? EPOLLIN : 0U;
-    events |= (mode & PollSet::POLL_WRITE) != 0 ? EPOLLOUT : 0U;
-    return events; // errors are always told
+    events |= (modes & PollSet::POLL_READ) != 0 ? EPOLLIN : 0U;
+    events |= (modes & PollSet::POLL_WRITE) != 0 ? EPOLLOUT : 0U;
+    return events; // epoll always reports errors
 }
 
-int pollModes(std::uint32_t events)
+int toPollModes(std::uint32_t events)
 {
     using Poco::Net::PollSet;
-    int mode = 0;
-    mode |= (events & EPOLLIN) != 0 ? PollSet::POLL_READ : 0;
-    mode |= (events & EPOLLOUT) != 0 ? PollSet::POLL_WRITE : 0;
-    mode |= (events & (EPOLLERR | EPOLLHUP)) != 0 ? PollSet::POLL_ERROR : 0;
-    return mode;
+    int modes = 0;
+    modes |= (events & EPOLLIN) != 0 ? PollSet::POLL_READ : 0;
+    modes |= (events & EPOLLOUT) != 0 ? PollSet::POLL_WRITE : 0;
+    modes |= (events & (EPOLLERR | EPOLLHUP)) != 0 ? PollSet::POLL_ERROR : 0;
+    return modes;
 }
 
 } // namespace
 
 Now readClocks()
 {
-    const auto wall = std::chrono::system_clock::now().time_since_epoch();
-    return Now{EventLoop::now(), WallTime{std::chrono::duration_cast<Milliseconds>(wall).count()}};
+    const auto wallTime = std::chrono::system_clock::now().time_since_epoch();
+    return Now{EventLoop::now(), WallTime{std::chrono::duration_cast<Milliseconds>(wallTime).count()}};
 }
 
-std::optional<std::size_t> sendSome(const Poco::Net::Socket &socket, std::string_view data)
+std::optional<std::size_t> trySend(const Poco::Net::Socket &socket, std::string_view data)
 {
     ssize_t sent = 0;
     do {
@@ -68,50 +68,50 @@
 
 struct EventLoop::Impl
 {
-    struct Watched
+    struct WatchedSocket
     {
-        std::uint32_t number = 0;
-        std::shared_ptr<Ready> ready;
+        std::uint32_t serial = 0;
+        std::shared_ptr<ReadyHandler> handler;
     };
-    int epoll = epoll_create1(EPOLL_CLOEXEC);
-    int wake = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-    // By descriptor. The number tells a socket from an earlier one with the same descriptor, of which an event may
-    // still be in hand.
-    std::unordered_map<int, Watched> watched;
-    std::uint32_t lastNumber = 0;
+    int epollFd = epoll_create1(EPOLL_CLOEXEC);
+    int wakeFd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
+    // Keyed by descriptor. The serial number distinguishes a socket from an earlier one with the same descriptor,
+    // whose events may still be pending.
+    std::unordered_map<int, WatchedSocket> watchedSockets;
+    std::uint32_t lastSerial = 0;
     TimerService timers;
     std::mutex mutex;
     std::vector<Task> tasks; // guarded by mutex
-    bool awake = false; // guarded by mutex: a wake-up is under way
-    std::atomic<bool> hasTasks = false; // a task was posted since the last look
-    std::atomic<bool> stopping = false;
+    bool isWakePending = false; // guarded by mutex: a wake-up was sent and not yet handled
+    std::atomic<bool> hasTasks = false; // tasks were posted since the queue was last emptied
+    std::atomic<bool> isStopping = false;
     std::thread thread;
 
     Impl()
     {
-        control(EPOLL_CTL_ADD, wake, EPOLLIN, 0);
+        updateEpoll(EPOLL_CTL_ADD, wakeFd, EPOLLIN, 0);
     }
     ~Impl()
     {
-        ::close(wake);
-        ::close(epoll);
+        ::close(wakeFd);
+        ::close(epollFd);
     }
     Impl(const Impl &) = delete;
     Impl &operator=(const Impl &) = delete;
 
-    void control(int operation, int fd, std::uint32_t events, std::uint32_t number) const;
-    void handle(const epoll_event &event);
+    void updateEpoll(int operation, int fd, std::uint32_t events, std::uint32_t serial) const;
+    void dispatch(const epoll_event &event);
     void run();
     void runTasks();
-    Duration timeToWait() const;
-    void wakeUp();
+    Duration computeWait() const;
+    void sendWake();
 };
 
 EventLoop::EventLoop(const std::string &name)
     : impl_(std::make_unique<Impl>())
 {
     impl_->thread = std::thread([impl = impl_.get()] { impl->run(); });
-    pthread_setname_np(impl_->thread.native_handle(), name.substr(0, threadNameLimit).c_str());
+    pthread_setname_np(impl_->thread.native_handle(), name.substr(0, maxThreadNameLength).c_str());
 }
 
 EventLoop::~EventLoop()
@@ -121,18 +121,18 @@
 
 void EventLoop::post(Task task)
 {
-    bool sleeping = false;
+    bool needsWake = false;
     {
         const std::lock_guard lock(impl_->mutex);
         impl_->tasks.push_back(std::move(task));
-        // The loop's own thread looks at the tasks before it sleeps: no wake-up is owed.
-        const bool own = std::this_thread::get_id() == impl_->thread.get_id();
-        sleeping = !impl_->awake && !own;
-        impl_->awake = impl_->awake || sleeping;
+        // The loop's own thread checks the queue before it waits and needs no wake-up.
+        const bool isLoopThread = std::this_thread::get_id() == impl_->thread.get_id();
+        needsWake = !impl_->isWakePending && !isLoopThread;
+        impl_->isWakePending = impl_->isWakePending || needsWake;
         impl_->hasTasks = true;
     }
-    if (sleeping) {
-        impl_->wakeUp();
+    if (needsWake) {
+        impl_->sendWake();
     }
 }
 
@@ -141,31 +141,31 @@
     if (!impl_->thread.joinable()) {
         return;
     }
-    post([this] { impl_->stopping = true; });
+    post([this] { impl_->isStopping = true; });
     impl_->thread.join();
 }
 
-void EventLoop::watch(const Poco::Net::Socket &socket, int mode, Ready ready)
+void EventLoop::watch(const Poco::Net::Socket &socket, int modes, ReadyHandler handler)
 {
     const auto fd = socket.impl()->sockfd();
-    auto &entry = impl_->watched[fd];
-    entry = {++impl_->lastNumber, std::make_shared<Ready>(std::move(ready))};
-    impl_->control(EPOLL_CTL_ADD, fd, epollModes(mode), entry.number);
+    auto &socketEntry = impl_->watchedSockets[fd];
+    socketEntry = {++impl_->lastSerial, std::make_shared<ReadyHandler>(std::move(handler))};
+    impl_->updateEpoll(EPOLL_CTL_ADD, fd, toEpollEvents(modes), socketEntry.serial);
 }
 
-void EventLoop::update(const Poco::Net::Socket &socket, int mode)
+void EventLoop::update(const Poco::Net::Socket &socket, int modes)
 {
     const auto fd = socket.impl()->sockfd();
-    if (const auto found = impl_->watched.find(fd); found != impl_->watched.end()) {
-        impl_->control(EPOLL_CTL_MOD, fd, epollModes(mode), found->second.number);
+    if (const auto found = impl_->watchedSockets.find(fd); found != impl_->watchedSockets.end()) {
+        impl_->updateEpoll(EPOLL_CTL_MOD, fd, toEpollEvents(modes), found->second.serial);
     }
 }
 
-void EventLoop::forget(const Poco::Net::Socket &socket)
+void EventLoop::unwatch(const Poco::Net::Socket &socket)
 {
     const auto fd = socket.impl()->sockfd();
-    if (impl_->watched.erase(fd) != 0) {
-        impl_->control(EPOLL_CTL_DEL, fd, 0, 0);
+    if (impl_->watchedSockets.erase(fd) != 0) {
+        impl_->updateEpoll(EPOLL_CTL_DEL, fd, 0, 0);
     }
 }
 
@@ -176,27 +176,27 @@
 
 TimePoint EventLoop::now()
 {
-    const auto since = std::chrono::steady_clock::now().time_since_epoch();
-    return TimePoint(std::chrono::duration_cast<Duration>(since));
+    const auto sinceEpoch = std::chrono::steady_clock::now().time_since_epoch();
+    return TimePoint(std::chrono::duration_cast<Duration>(sinceEpoch));
 }
 
-void EventLoop::Impl::wakeUp()
+void EventLoop::Impl::sendWake()
 {
     const std::uint64_t one = 1;
-    // A full counter is a wake-up that is under way already.
-    [[maybe_unused]] const auto written = ::write(wake, &one, sizeof one);
+    // If the counter is full, a wake-up is already pending.
+    [[maybe_unused]] const auto written = ::write(wakeFd, &one, sizeof one);
 }
 
-Duration EventLoop::Impl::timeToWait() const
+Duration EventLoop::Impl::computeWait() const
 {
     if (hasTasks) {
         return Duration(0);
     }
-    const auto next = timers.next();
-    if (!next) {
-        return longestWait;
+    const auto nextTimer = timers.next();
+    if (!nextTimer) {
+        return maxWait;
     }
-    return std::clamp(*next - EventLoop::now(), Duration(0), longestWait);
+    return std::clamp(*nextTimer - EventLoop::now(), Duration(0), maxWait);
 }
 
 void EventLoop::Impl::runTasks()
@@ -205,7 +205,7 @@
     {
         const std::lock_guard lock(mutex);
         batch.swap(tasks);
-        awake = false;
+        isWakePending = false;
         hasTasks = false;
     }
     for (auto &task : batch) {
@@ -213,39 +213,40 @@
     }
 }
 
-void EventLoop::Impl::control(int operation, int fd, std::uint32_t events, std::uint32_t number) const
+void EventLoop::Impl::updateEpoll(int operation, int fd, std::uint32_t events, std::uint32_t serial) const
 {
     epoll_event event{};
     event.events = events;
-    event.data.u64 = (std::uint64_t{number} << fdBits) | static_cast<std::uint32_t>(fd);
-    ::epoll_ctl(epoll, operation, fd, &event);
+    event.data.u64 = (std::uint64_t{serial} << fdBits) | static_cast<std::uint32_t>(fd);
+    ::epoll_ctl(epollFd, operation, fd, &event);
 }
 
-void EventLoop::Impl::handle(const epoll_event &event)
+void EventLoop::Impl::dispatch(const epoll_event &event)
 {
     const auto fd = static_cast<int>(event.data.u64 & UINT32_MAX);
-    if (fd == wake) {
+    if (fd == wakeFd) {
         std::uint64_t count = 0;
-        [[maybe_unused]] const auto got = ::read(wake, &count, sizeof count);
+        [[maybe_unused]] const auto got = ::read(wakeFd, &count, sizeof count);
         return;
     }
-    const auto found = watched.find(fd);
-    if (found == watched.end() || found->second.number != event.data.u64 >> fdBits) {
+    const auto found = watchedSockets.find(fd);
+    if (found == watchedSockets.end() || found->second.serial != event.data.u64 >> fdBits) {
         return;
     }
-    const auto ready = found->second.ready; // the handler may forget its own socket
-    (*ready)(pollModes(event.events));
+    const auto handler = found->second.handler; // keeps the handler alive if it unwatches its own socket
+    (*handler)(toPollModes(event.events));
 }
 
 void EventLoop::Impl::run()
 {
-    std::array<epoll_event, eventsAtOnce> events{};
-    while (!stopping) {
-        // epoll counts in whole milliseconds: rounded up, or the loop would spin until a timer is due.
-        const auto wait = std::chrono::ceil<Milliseconds>(timeToWait()).count();
-        const int ready = ::epoll_wait(epoll, events.data(), static_cast<int>(events.size()), static_cast<int>(wait));
-        for (int i = 0; i < ready; ++i) {
-            handle(events.at(static_cast<std::size_t>(i)));
+    std::array<epoll_event, maxEventsPerPoll> events{};
+    while (!isStopping) {
+        // Rounded up to whole milliseconds; otherwise the loop would spin until the next timer expires.
+        const auto wait = std::chrono::ceil<Milliseconds>(computeWait()).count();
+        const int eventCount =
+            ::epoll_wait(epollFd, events.data(), static_cast<int>(events.size()), static_cast<int>(wait));
+        for (int i = 0; i < eventCount; ++i) {
+            dispatch(events.at(static_cast<std::size_t>(i)));
         }
         runTasks();
         timers.advance(EventLoop::now());
--- a/src/net/http_answer.cpp
+++ b/src/net/http_answer.cpp
@@ -1,4 +1,4 @@
-// Framing of answers towards callers.
+// Formatting of responses to callers.
 #include "http_answer.h"
 
 #include <Poco/Net/HTTPResponse.h>
@@ -11,73 +11,73 @@
 
 namespace {
 
-constexpr std::string_view eventEnd = "\n\n";
+constexpr std::string_view eventEndLf = "\n\n";
 constexpr std::string_view eventEndCrLf = "\r\n\r\n";
 constexpr std::string_view lastChunk = "0\r\n\r\n";
 
-// End of the last whole event in `data`; 0 if there is none.
-std::size_t wholeEvents(std::string_view data)
+// Returns the end of the last complete event in `data`; 0 if there is none.
+std::size_t findLastEventEnd(std::string_view data)
 {
-    const auto lf = data.rfind(eventEnd);
+    const auto lf = data.rfind(eventEndLf);
     const auto crlf = data.rfind(eventEndCrLf);
-    const auto afterLf = lf == std::string_view::npos ? 0 : lf + eventEnd.size();
+    const auto afterLf = lf == std::string_view::npos ? 0 : lf + eventEndLf.size();
     const auto afterCrLf = crlf == std::string_view::npos ? 0 : crlf + eventEndCrLf.size();
     return std::max(afterLf, afterCrLf);
 }
 
 } // namespace
 
-HttpAnswer::HttpAnswer(bool keepAlive, bool chunked, bool bodyless, std::size_t holdBytes)
+HttpAnswer::HttpAnswer(bool keepAlive, bool acceptsChunked, bool isHeadRequest, std::size_t maxHeldBytes)
     : keepAlive_(keepAlive)
-    , chunked_(chunked)
-    , bodyless_(bodyless)
-    , holdBytes_(holdBytes)
+    , acceptsChunked_(acceptsChunked)
+    , isHeadRequest_(isHeadRequest)
+    , maxHeldBytes_(maxHeldBytes)
 {
 }
 
 void HttpAnswer::reply(const HttpReply &reply)
 {
-    begun_ = true;
+    hasBegun_ = true;
     status_ = reply.status;
     headers_ = reply.headers;
-    held_ = reply.body;
+    heldBody_ = reply.body;
     keepAlive_ = keepAlive_ && !reply.close;
-    events_ = false;
+    isEventStream_ = false;
     finish();
 }
 
 void HttpAnswer::begin(std::uint32_t status, HttpHeaders headers)
 {
-    if (begun_) {
+    if (hasBegun_) {
         return;
     }
-    begun_ = true;
+    hasBegun_ = true;
     status_ = status;
     headers_ = std::move(headers);
-    const auto *type = findHeader(headers_, "Content-Type");
-    events_ = type != nullptr && Poco::toLower(*type).starts_with("text/event-stream");
-    if (events_) {
-        startPassing();
+    const auto *contentType = findHeader(headers_, "Content-Type");
+    isEventStream_ = contentType != nullptr && Poco::toLower(*contentType).starts_with("text/event-stream");
+    if (isEventStream_) {
+        startForwarding();
     }
 }
 
 void HttpAnswer::send(std::string_view data)
 {
-    if (!begun_ || end_ != AnswerEnd::Open) {
+    if (!hasBegun_ || end_ != AnswerEnd::Open) {
         return;
     }
-    held_.append(data);
-    if (!events_) {
-        if (passing_ || held_.size() > holdBytes_) {
-            startPassing();
-            pass(held_);
-            held_.clear();
+    heldBody_.append(data);
+    if (!isEventStream_) {
+        if (isForwarding_ || heldBody_.size() > maxHeldBytes_) {
+            startForwarding();
+            forward(heldBody_);
+            heldBody_.clear();
         }
         return;
     }
-    const auto whole = held_.size() > holdBytes_ ? held_.size() : wholeEvents(held_);
-    pass(std::string_view(held_).substr(0, whole));
-    held_.erase(0, whole);
+    const auto forwardableBytes = heldBody_.size() > maxHeldBytes_ ? heldBody_.size() : findLastEventEnd(heldBody_);
+    forward(std::string_view(heldBody_).substr(0, forwardableBytes));
+    heldBody_.erase(0, forwardableBytes);
 }
 
 void HttpAnswer::finish()
@@ -85,21 +85,21 @@
     if (end_ != AnswerEnd::Open) {
         return;
     }
-    if (!passing_) {
-        passing_ = true;
-        writeHead(held_.size());
-        if (!bodyless_) {
-            output_.append(held_);
+    if (!isForwarding_) {
+        isForwarding_ = true;
+        writeHead(heldBody_.size());
+        if (!isHeadRequest_) {
+            output_.append(heldBody_);
         }
-        passedOn_ += held_.size();
+        forwardedBytes_ += heldBody_.size();
         close(keepAlive_ ? AnswerEnd::Keep : AnswerEnd::Close);
         return;
     }
-    pass(held_);
-    if (chunked_) {
+    forward(heldBody_);
+    if (acceptsChunked_) {
         output_.append(lastChunk);
     }
-    close(keepAlive_ && chunked_ ? AnswerEnd::Keep : AnswerEnd::Close);
+    close(keepAlive_ && acceptsChunked_ ? AnswerEnd::Keep : AnswerEnd::Close);
 }
 
 void HttpAnswer::fail(const HttpReply &reply)
@@ -107,16 +107,16 @@
     if (end_ != AnswerEnd::Open) {
         return;
     }
-    if (!passing_) {
+    if (!isForwarding_) {
         this->reply(reply);
         return;
     }
-    if (!events_) {
+    if (!isEventStream_) {
         close(AnswerEnd::Cut);
         return;
     }
-    pass("event: error\ndata: " + reply.body + "\n\n");
-    if (chunked_) {
+    forward("event: error\ndata: " + reply.body + "\n\n");
+    if (acceptsChunked_) {
         output_.append(lastChunk);
     }
     close(AnswerEnd::Close);
@@ -127,7 +127,7 @@
     if (end_ != AnswerEnd::Open) {
         return;
     }
-    if (!passing_) {
+    if (!isForwarding_) {
         this->reply(reply);
         return;
     }
@@ -144,17 +144,17 @@
     return end_;
 }
 
-std::uint64_t HttpAnswer::takePassedOn()
+std::uint64_t HttpAnswer::takeForwardedBytes()
 {
-    return std::exchange(passedOn_, 0);
+    return std::exchange(forwardedBytes_, 0);
 }
 
-void HttpAnswer::startPassing()
+void HttpAnswer::startForwarding()
 {
-    if (passing_) {
+    if (isForwarding_) {
         return;
     }
-    passing_ = true;
+    isForwarding_ = true;
     writeHead(std::nullopt);
 }
 
@@ -167,35 +167,35 @@
             response.add(name, value);
         }
     }
-    const bool noBody = status_ == 204 || status_ == 304;
-    if (length && !noBody) {
+    const bool hasNoBody = status_ == 204 || status_ == 304;
+    if (length && !hasNoBody) {
         response.setContentLength64(static_cast<Poco::Int64>(*length));
-    } else if (!noBody && chunked_) {
+    } else if (!hasNoBody && acceptsChunked_) {
         response.setChunkedTransferEncoding(true);
     }
-    const bool keep = keepAlive_ && (length.has_value() || chunked_);
-    response.set("Connection", keep ? "keep-alive" : "close");
+    const bool isKeptAlive = keepAlive_ && (length.has_value() || acceptsChunked_);
+    response.set("Connection", isKeptAlive ? "keep-alive" : "close");
     std::ostringstream stream;
     response.write(stream);
     output_.append(stream.str());
 }
 
-void HttpAnswer::pass(std::string_view data)
+void HttpAnswer::forward(std::string_view data)
 {
     if (data.empty()) {
         return;
     }
-    passedOn_ += data.size();
-    if (bodyless_) {
+    forwardedBytes_ += data.size();
+    if (isHeadRequest_) {
         return;
     }
-    if (!chunked_) {
+    if (!acceptsChunked_) {
         output_.append(data);
         return;
     }
     std::array<char, 2 * sizeof(std::size_t)> digits{};
-    const auto written = std::to_chars(digits.data(), digits.data() + digits.size(), data.size(), 16);
-    output_.append(digits.data(), written.ptr);
+    const auto digitsEnd = std::to_chars(digits.data(), digits.data() + digits.size(), data.size(), 16);
+    output_.append(digits.data(), digitsEnd.ptr);
     output_.append("\r\n");
     output_.append(data);
     output_.append("\r\n");
@@ -203,7 +203,7 @@
 
 void HttpAnswer::close(AnswerEnd end)
 {
-    held_.clear();
+    heldBody_.clear();
     end_ = end;
 }
 
--- a/src/net/http_answer.h
+++ b/src/net/http_answer.h
@@ -1,62 +1,62 @@
-// One answer on its way to a caller, as bytes for the connection. No I/O, so that every way an answer can end is
-// tested without sockets.
+// Formats one response to a caller as bytes for its connection. Does no I/O, so that it can be tested without
+// sockets.
 #pragma once
 
 #include "anvilscale/net.h"
 
 namespace anvilscale {
 
-/// What is done with the connection after the bytes are written.
+/// What happens to the connection after the output is written.
 enum class AnswerEnd : std::uint8_t {
-    Open, ///< more to come
+    Open, ///< the response is incomplete
     Keep,
     Close,
-    Cut, ///< at once, so that the caller sees a broken answer
+    Cut, ///< closed at once, so that the caller detects the truncated response
     Count
 };
 
-/// An unstreamed answer is held back until it is known to be whole or too long to hold: an error can then still be
-/// told by its status. An event stream is passed on in whole events: an error event never follows half an event,
-/// which a reader would take for one.
+/// A response to one request. A non-streamed response is buffered until it is complete or exceeds `maxHeldBytes`, so
+/// that an error can still set its status. An event stream is forwarded in complete events, so that an error event
+/// never follows a partial event, which a reader would accept as complete.
 class HttpAnswer
 {
 public:
-    /// `keepAlive` and `chunked` say what the caller's connection can do; `bodyless` is an answer to HEAD.
-    HttpAnswer(bool keepAlive, bool chunked, bool bodyless, std::size_t holdBytes);
+    /// `keepAlive` and `acceptsChunked` describe the caller's connection; `isHeadRequest` is set for HEAD requests.
+    HttpAnswer(bool keepAlive, bool acceptsChunked, bool isHeadRequest, std::size_t maxHeldBytes);
 
     void reply(const HttpReply &reply);
     void begin(std::uint32_t status, HttpHeaders headers);
     void send(std::string_view data);
     void finish();
     void fail(const HttpReply &reply);
-    /// As `reply` if nothing has gone out, else the connection is cut in the middle of the answer.
+    /// Sends `reply` if nothing has been sent yet, otherwise closes the connection in the middle of the response.
     void cut(const HttpReply &reply);
 
-    /// Bytes to write; the caller of this takes them away.
+    /// Bytes to write; the caller clears what it has consumed.
     std::string &output();
     AnswerEnd end() const;
-    /// Body bytes put into output() since the last call.
-    std::uint64_t takePassedOn();
-    bool failedOpen() const;
+    /// Returns the number of body bytes added to output() since the last call.
+    std::uint64_t takeForwardedBytes();
+    bool hasFailedOpen() const;
 
 private:
     void writeHead(std::optional<std::size_t> length);
-    void pass(std::string_view data);
-    void startPassing();
+    void forward(std::string_view data);
+    void startForwarding();
     void close(AnswerEnd end);
 
     bool keepAlive_;
-    bool chunked_;
-    bool bodyless_;
-    std::size_t holdBytes_;
-    bool begun_ = false; // status and headers are known
-    bool passing_ = false; // the head is in the output: the status can no longer change
-    bool events_ = false;
+    bool acceptsChunked_;
+    bool isHeadRequest_;
+    std::size_t maxHeldBytes_;
+    bool hasBegun_ = false; // status and headers are set
+    bool isForwarding_ = false; // the head is in the output, so the status can no longer change
+    bool isEventStream_ = false;
     std::uint32_t status_ = 0;
     HttpHeaders headers_;
-    std::string held_; // body bytes not passed on yet
+    std::string heldBody_; // body bytes not yet forwarded
     std::string output_;
-    std::uint64_t passedOn_ = 0;
+    std::uint64_t forwardedBytes_ = 0;
     AnswerEnd end_ = AnswerEnd::Open;
 };
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -1,4 +1,4 @@
-// Connections to the endpoint: non-blocking, kept for a short time, one exchange at a time.
+// HTTP client: non-blocking connections to one address, reused for a short time, with one exchange at a time each.
 #include "anvilscale/net.h"
 
 #include <Poco/Net/NetException.h>
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr std::size_t readSize = 64U << 10;
-constexpr std::size_t headLimit = 64U << 10;
+constexpr std::size_t maxReadBytes = 64U << 10;
+constexpr std::size_t maxHeadBytes = 64U << 10;
 constexpr int readMode = Poco::Net::PollSet::POLL_READ;
 constexpr int writeMode = Poco::Net::PollSet::POLL_WRITE;
 constexpr int errorMode = Poco::Net::PollSet::POLL_ERROR;
@@ -36,17 +36,17 @@
     Poco::Net::StreamSocket socket;
     Step step = Step::Connecting;
     std::string output;
-    std::size_t written = 0;
+    std::size_t writtenBytes = 0;
     std::string input;
     HttpResponseHead response;
-    bool bodyless = false;
-    bool paused = false;
-    bool deadline = false; // the timer bounds the whole exchange, not only the connecting
-    int interest = 0;
+    bool isHeadRequest = false;
+    bool isPaused = false;
+    bool hasDeadline = false; // the timer bounds the whole exchange, not only connecting
+    int pollModes = 0;
     TimerHandle timer;
     TimePoint idleSince;
-    Duration keepIdle{}; // how long it may stay idle
-    TimePoint mustEnd; // of the exchange, if `deadline`
+    Duration maxIdleTime{}; // after this time it is not reused
+    TimePoint deadline; // of the exchange, if `hasDeadline`
     ExchangeHandlers handlers;
 };
 
@@ -54,19 +54,19 @@
 
 struct HttpClient::Impl
 {
-    Impl(EventLoop &owner, HttpClientInit parameters)
-        : loop(owner)
+    Impl(EventLoop &eventLoop, HttpClientInit parameters)
+        : loop(eventLoop)
         , init(std::move(parameters))
         , address(init.address)
     {
     }
 
-    Connection *takeIdle();
-    Connection *open();
+    Connection *takeIdleConnection();
+    Connection *openConnection();
     ExchangeId start(const EndpointRequest &request, Duration timeout, ExchangeHandlers handlers);
     void cancel(ExchangeId id);
     void abort(ExchangeId id);
-    void pause(ExchangeId id, bool paused);
+    void pause(ExchangeId id, bool isPaused);
     void onReady(Connection &connection, int mode);
     void onConnected(Connection &connection);
     void send(Connection &connection);
@@ -77,24 +77,24 @@
     void onClosed(Connection &connection);
     void finish(Connection &connection, ExchangeEnd end);
     static void resetOnClose(Connection &connection);
-    void drop(Connection &connection);
-    void keep(Connection &connection);
-    Duration idleTimeOf(const HttpResponseHead &response) const;
-    void updateInterest(Connection &connection);
-    void setTimer(Connection &connection, Duration span);
+    void closeConnection(Connection &connection);
+    void makeIdle(Connection &connection);
+    Duration readMaxIdleTime(const HttpResponseHead &response) const;
+    void updatePollModes(Connection &connection);
+    void setTimer(Connection &connection, Duration timeout);
     void onTimer(ExchangeId key);
-    void scheduleSweep();
-    void sweep();
+    void scheduleExpiry();
+    void closeExpired();
 
     EventLoop &loop;
     HttpClientInit init;
     Poco::Net::SocketAddress address;
     HttpClientCounts counts;
     std::uint64_t lastKey = 0;
-    // Connections by a key that changes with each exchange, so that a late callback never reaches the next one.
+    // Keyed by a number that changes with each exchange, so that a late callback never reaches the next exchange.
     std::map<std::uint64_t, std::unique_ptr<Connection>> connections;
-    std::deque<std::uint64_t> idle; // keys of kept connections, oldest first
-    TimerHandle sweepTimer; // closes connections that were kept too long
+    std::deque<std::uint64_t> idleKeys; // keys of idle connections, least recently used first
+    TimerHandle expiryTimer; // closes expired idle connections
 };
 
 HttpClient::HttpClient(EventLoop &loop, HttpClientInit init)
@@ -104,10 +104,10 @@
 
 HttpClient::~HttpClient()
 {
-    impl_->loop.timers().cancel(impl_->sweepTimer);
+    impl_->loop.timers().cancel(impl_->expiryTimer);
     for (auto &[key, connection] : impl_->connections) {
         impl_->loop.timers().cancel(connection->timer);
-        impl_->loop.forget(connection->socket);
+        impl_->loop.unwatch(connection->socket);
         connection->socket.close();
     }
 }
@@ -132,58 +132,59 @@
     impl_->abort(id);
 }
 
-void HttpClient::pause(ExchangeId id, bool paused)
+void HttpClient::pause(ExchangeId id, bool isPaused)
 {
-    impl_->pause(id, paused);
+    impl_->pause(id, isPaused);
 }
 
-Connection *HttpClient::Impl::takeIdle()
+Connection *HttpClient::Impl::takeIdleConnection()
 {
-    // The one used last: its endpoint is the least likely to close it just now.
-    if (idle.empty()) {
+    // The most recently used connection is the least likely to be closed by the endpoint.
+    if (idleKeys.empty()) {
         return nullptr;
     }
-    auto &connection = *connections.at(idle.back());
-    if (EventLoop::now() - connection.idleSince >= connection.keepIdle) {
+    auto &connection = *connections.at(idleKeys.back());
+    if (EventLoop::now() - connection.idleSince >= connection.maxIdleTime) {
         return nullptr;
     }
-    idle.pop_back();
+    idleKeys.pop_back();
     return &connection;
 }
 
-Connection *HttpClient::Impl::open()
+Connection *HttpClient::Impl::openConnection()
 {
     auto connection = std::make_unique<Connection>();
-    auto *raw = connection.get();
+    auto *newConnection = connection.get();
     counts.connections += 1;
     try {
-        raw->socket.connectNB(address);
-        raw->socket.setNoDelay(true);
+        newConnection->socket.connectNB(address);
+        newConnection->socket.setNoDelay(true);
     } catch (const Poco::Exception &) {
         counts.connectFailures += 1;
         return nullptr;
     }
-    raw->key = ++lastKey;
-    raw->interest = writeMode | errorMode;
-    loop.watch(raw->socket, raw->interest, [this, raw](int mode) { onReady(*raw, mode); });
-    connections.emplace(raw->key, std::move(connection));
-    return raw;
+    newConnection->key = ++lastKey;
+    newConnection->pollModes = writeMode | errorMode;
+    loop.watch(newConnection->socket, newConnection->pollModes,
+               [this, newConnection](int mode) { onReady(*newConnection, mode); });
+    connections.emplace(newConnection->key, std::move(connection));
+    return newConnection;
 }
 
 ExchangeId HttpClient::Impl::start(const EndpointRequest &request, Duration timeout, ExchangeHandlers handlers)
 {
     counts.requests += 1;
-    auto *connection = request.freshConnection ? nullptr : takeIdle();
-    const bool kept = connection != nullptr;
-    if (!kept) {
-        connection = open();
+    auto *connection = request.freshConnection ? nullptr : takeIdleConnection();
+    const bool isReused = connection != nullptr;
+    if (!isReused) {
+        connection = openConnection();
     }
     if (connection == nullptr) {
         loop.post([end = std::move(handlers.end)] { end(ExchangeEnd::Unreachable); });
         return 0;
     }
-    if (kept) {
-        // A new key for the new exchange.
+    if (isReused) {
+        // Each exchange gets a new key.
         auto node = connections.extract(connection->key);
         node.key() = ++lastKey;
         connection->key = node.key();
@@ -191,25 +192,25 @@
     }
     connection->handlers = std::move(handlers);
     connection->output =
-        requestHead(request.method, request.target, request.host.empty() ? address.toString() : request.host,
-                    request.headers, request.body.size(), true)
+        formatRequestHead(request.method, request.target, request.host.empty() ? address.toString() : request.host,
+                          request.headers, request.body.size(), true)
         + request.body;
-    connection->written = 0;
+    connection->writtenBytes = 0;
     connection->input.clear();
-    connection->paused = false;
-    connection->bodyless = request.method == "HEAD";
-    connection->step = kept ? Step::Sending : Step::Connecting;
+    connection->isPaused = false;
+    connection->isHeadRequest = request.method == "HEAD";
+    connection->step = isReused ? Step::Sending : Step::Connecting;
     const auto key = connection->key;
-    connection->deadline = timeout != Duration(0);
-    if (connection->deadline) {
-        connection->mustEnd = EventLoop::now() + timeout;
+    connection->hasDeadline = timeout != Duration(0);
+    if (connection->hasDeadline) {
+        connection->deadline = EventLoop::now() + timeout;
     }
-    if (!kept) {
-        setTimer(*connection, connection->deadline ? std::min(timeout, init.connectTimeout) : init.connectTimeout);
-    } else if (connection->deadline) {
+    if (!isReused) {
+        setTimer(*connection, connection->hasDeadline ? std::min(timeout, init.connectTimeout) : init.connectTimeout);
+    } else if (connection->hasDeadline) {
         setTimer(*connection, timeout);
     }
-    if (kept) {
+    if (isReused) {
         send(*connection);
     }
     return key;
@@ -227,18 +228,18 @@
         return;
     }
     connection.step = Step::Cancelling;
-    connection.paused = false;
+    connection.isPaused = false;
     connection.handlers.head = nullptr;
     connection.handlers.data = nullptr;
-    connection.written = connection.output.size();
+    connection.writtenBytes = connection.output.size();
     try {
         connection.socket.shutdownSend();
     } catch (const Poco::Exception &) {
-        finish(connection, ExchangeEnd::CancelConfirmed); // the endpoint has closed already
+        finish(connection, ExchangeEnd::CancelConfirmed); // already closed by the endpoint
         return;
     }
     setTimer(connection, init.cancelGrace);
-    updateInterest(connection);
+    updatePollModes(connection);
 }
 
 void HttpClient::Impl::abort(ExchangeId id)
@@ -246,21 +247,21 @@
     const auto found = connections.find(id);
     if (found != connections.end() && found->second->step != Step::Idle) {
         resetOnClose(*found->second);
-        drop(*found->second);
+        closeConnection(*found->second);
     }
 }
 
-void HttpClient::Impl::pause(ExchangeId id, bool paused)
+void HttpClient::Impl::pause(ExchangeId id, bool isPaused)
 {
     const auto found = connections.find(id);
-    if (found == connections.end() || found->second->paused == paused || found->second->step != Step::Body) {
+    if (found == connections.end() || found->second->isPaused == isPaused || found->second->step != Step::Body) {
         return;
     }
-    found->second->paused = paused;
-    updateInterest(*found->second);
+    found->second->isPaused = isPaused;
+    updatePollModes(*found->second);
 }
 
-// The handler is forgotten before its connection is destroyed.
+// The socket is unwatched before its connection is destroyed, so `connection` is valid here.
 void HttpClient::Impl::onReady(Connection &connection, int mode)
 {
     const auto key = connection.key;
@@ -269,7 +270,7 @@
         return;
     }
     if (connection.step == Step::Idle) {
-        drop(connection); // closed by the endpoint, or data that nobody asked for
+        closeConnection(connection); // closed by the endpoint, or unsolicited data
         return;
     }
     if ((mode & writeMode) != 0 && connection.step == Step::Sending) {
@@ -289,8 +290,8 @@
         finish(connection, ExchangeEnd::Unreachable);
         return;
     }
-    if (connection.deadline) {
-        setTimer(connection, connection.mustEnd - EventLoop::now());
+    if (connection.hasDeadline) {
+        setTimer(connection, connection.deadline - EventLoop::now());
     } else {
         loop.timers().cancel(connection.timer);
         connection.timer = TimerHandle{};
@@ -301,45 +302,46 @@
 
 void HttpClient::Impl::send(Connection &connection)
 {
-    while (connection.written < connection.output.size()) {
-        const auto sent = sendSome(connection.socket, std::string_view(connection.output).substr(connection.written));
-        if (!sent) {
-            // The endpoint may have answered before it closed: what can be read is read.
+    while (connection.writtenBytes < connection.output.size()) {
+        const auto sentBytes =
+            trySend(connection.socket, std::string_view(connection.output).substr(connection.writtenBytes));
+        if (!sentBytes) {
+            // The endpoint may have responded before it closed the connection, so the response is still read.
             connection.step = Step::Head;
             receive(connection);
             return;
         }
-        if (*sent == 0) {
-            updateInterest(connection);
+        if (*sentBytes == 0) {
+            updatePollModes(connection);
             return;
         }
-        connection.written += *sent;
+        connection.writtenBytes += *sentBytes;
     }
     connection.step = Step::Head;
     connection.output.clear();
-    connection.written = 0;
-    updateInterest(connection);
+    connection.writtenBytes = 0;
+    updatePollModes(connection);
 }
 
 void HttpClient::Impl::receive(Connection &connection)
 {
-    std::array<char, readSize> buffer; // NOLINT(cppcoreguidelines-pro-type-member-init): filled by the read
-    int got = 0;
+    std::array<char, maxReadBytes> buffer; // NOLINT(cppcoreguidelines-pro-type-member-init): filled by the read
+    int received = 0;
     try {
-        got = connection.socket.receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
+        received = connection.socket.receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
     } catch (const Poco::Exception &) {
-        // A reset may cut an answer that ends with its connection: it is never taken for the end.
+        // A reset may truncate a response that ends with its connection, so it never counts as the end.
         finish(connection, connection.step == Step::Cancelling ? ExchangeEnd::CancelConfirmed : ExchangeEnd::Broken);
         return;
     }
-    if (got < 0) {
+    if (received < 0) {
         return;
     }
-    if (got == 0) {
+    if (received == 0) {
         onClosed(connection);
         return;
     }
-    connection.input.append(buffer.data(), static_cast<std::size_t>(got));
+    connection.input.append(buffer.data(), static_cast<std::size_t>(received));
     onInput(connection);
 }
 
@@ -363,24 +365,24 @@
     }
 }
 
-// Returns true if a head was read and the connection goes on.
+// Returns true if a head was read and the connection is still open.
 bool HttpClient::Impl::readHead(Connection &connection)
 {
     const auto length = headLength(connection.input);
     if (length == 0) {
-        if (connection.input.size() > headLimit) {
+        if (connection.input.size() > maxHeadBytes) {
             finish(connection, ExchangeEnd::Broken);
         }
         return false;
     }
-    auto parsed = parseResponseHead(std::string_view(connection.input).substr(0, length), connection.bodyless);
+    auto parsed = parseResponseHead(std::string_view(connection.input).substr(0, length), connection.isHeadRequest);
     connection.input.erase(0, length);
     if (!parsed) {
         finish(connection, ExchangeEnd::Broken);
         return false;
     }
     if (parsed->status / 100 == 1) {
-        return true; // an interim answer
+        return true; // interim response
     }
     connection.response = std::move(*parsed);
     connection.step = Step::Body;
@@ -395,8 +397,8 @@
 {
     std::string data;
     auto &body = connection.response.body;
-    const auto used = body.take(connection.input, data);
-    connection.input.erase(0, used);
+    const auto consumed = body.read(connection.input, data);
+    connection.input.erase(0, consumed);
     const auto key = connection.key;
     if (!data.empty() && connection.handlers.data) {
         connection.handlers.data(std::move(data));
@@ -404,9 +406,9 @@
     if (connections.count(key) == 0 || connection.step != Step::Body) {
         return;
     }
-    if (body.broken()) {
+    if (body.isBroken()) {
         finish(connection, ExchangeEnd::Broken);
-    } else if (body.done()) {
+    } else if (body.isDone()) {
         finish(connection, ExchangeEnd::Complete);
     }
 }
@@ -417,128 +419,128 @@
         finish(connection, ExchangeEnd::CancelConfirmed);
         return;
     }
-    const bool whole = connection.step == Step::Body
-                       && connection.response.body.framing() == HttpBodyReader::Framing::UntilClose
-                       && !connection.response.body.done();
-    finish(connection, whole ? ExchangeEnd::Complete : ExchangeEnd::Broken);
+    const bool isComplete = connection.step == Step::Body
+                            && connection.response.body.framing() == HttpBodyReader::Framing::UntilClose
+                            && !connection.response.body.isDone();
+    finish(connection, isComplete ? ExchangeEnd::Complete : ExchangeEnd::Broken);
 }
 
 void HttpClient::Impl::finish(Connection &connection, ExchangeEnd end)
 {
     const auto handler = std::move(connection.handlers.end);
     connection.handlers = ExchangeHandlers{};
-    const bool reusable = end == ExchangeEnd::Complete && connection.response.keepAlive && connection.input.empty()
-                          && connection.output.empty() && idle.size() < init.keepConnections;
-    if (reusable) {
-        keep(connection);
+    const bool isReusable = end == ExchangeEnd::Complete && connection.response.keepAlive && connection.input.empty()
+                            && connection.output.empty() && idleKeys.size() < init.keepConnections;
+    if (isReusable) {
+        makeIdle(connection);
     } else {
         if (end == ExchangeEnd::Broken) {
             resetOnClose(connection);
         }
-        drop(connection);
+        closeConnection(connection);
     }
     if (handler) {
         handler(end);
     }
 }
 
-void HttpClient::Impl::keep(Connection &connection)
+void HttpClient::Impl::makeIdle(Connection &connection)
 {
     loop.timers().cancel(connection.timer);
     connection.timer = TimerHandle{};
     connection.step = Step::Idle;
-    connection.paused = false;
+    connection.isPaused = false;
     connection.idleSince = EventLoop::now();
-    connection.keepIdle = idleTimeOf(connection.response);
-    idle.push_back(connection.key);
-    updateInterest(connection);
-    scheduleSweep();
+    connection.maxIdleTime = readMaxIdleTime(connection.response);
+    idleKeys.push_back(connection.key);
+    updatePollModes(connection);
+    scheduleExpiry();
 }
 
-Duration HttpClient::Impl::idleTimeOf(const HttpResponseHead &response) const
+Duration HttpClient::Impl::readMaxIdleTime(const HttpResponseHead &response) const
 {
     constexpr std::string_view parameter = "timeout=";
-    const auto *told = findHeader(response.headers, "Keep-Alive");
-    const auto at = told == nullptr ? std::string::npos : told->find(parameter);
-    if (init.keepMargin == Duration(0) || at == std::string::npos) {
+    const auto *keepAliveHeader = findHeader(response.headers, "Keep-Alive");
+    const auto position = keepAliveHeader == nullptr ? std::string::npos : keepAliveHeader->find(parameter);
+    if (init.keepMargin == Duration(0) || position == std::string::npos) {
         return init.keepIdle;
     }
     unsigned seconds = 0;
-    const auto *first = told->data() + at + parameter.size();
-    if (std::from_chars(first, told->data() + told->size(), seconds).ec != std::errc()) {
+    const auto *digits = keepAliveHeader->data() + position + parameter.size();
+    if (std::from_chars(digits, keepAliveHeader->data() + keepAliveHeader->size(), seconds).ec != std::errc()) {
         return init.keepIdle;
     }
     return std::max(Duration(0), Seconds(seconds) - init.keepMargin);
 }
 
-// One timer for all kept connections: most are used again long before it is due.
-void HttpClient::Impl::scheduleSweep()
+// One timer serves all idle connections, as most are reused before they expire.
+void HttpClient::Impl::scheduleExpiry()
 {
-    if (!sweepTimer && !idle.empty()) {
-        sweepTimer = loop.timers().subscribe(EventLoop::now() + init.keepIdle, [this](TimePoint) { sweep(); });
+    if (!expiryTimer && !idleKeys.empty()) {
+        expiryTimer = loop.timers().subscribe(EventLoop::now() + init.keepIdle, [this](TimePoint) { closeExpired(); });
     }
 }
 
-void HttpClient::Impl::sweep()
+void HttpClient::Impl::closeExpired()
 {
-    sweepTimer = TimerHandle{};
+    expiryTimer = TimerHandle{};
     const auto now = EventLoop::now();
-    const auto kept = idle;
-    for (const auto key : kept) {
+    const auto keys = idleKeys;
+    for (const auto key : keys) {
         auto &connection = *connections.at(key);
-        if (now - connection.idleSince >= connection.keepIdle) {
-            drop(connection);
+        if (now - connection.idleSince >= connection.maxIdleTime) {
+            closeConnection(connection);
         }
     }
-    scheduleSweep();
+    scheduleExpiry();
 }
 
 void HttpClient::dropIdle()
 {
-    const auto kept = impl_->idle;
-    for (const auto key : kept) {
-        impl_->drop(*impl_->connections.at(key));
+    const auto keys = impl_->idleKeys;
+    for (const auto key : keys) {
+        impl_->closeConnection(*impl_->connections.at(key));
     }
 }
 
-// While the network is cut, a request waits in the kernel. After a plain close it would still be delivered once the cut
-// is over, and run for a caller who has left; a reset throws it away.
+// Discards data queued in the kernel. After a plain close, a request queued during a network partition would still be
+// delivered later and run for a caller that has left.
 void HttpClient::Impl::resetOnClose(Connection &connection)
 {
     try {
         connection.socket.setLinger(true, 0);
     } catch (const Poco::Exception &) {
-        return; // closed by the other side already: nothing waits
+        return; // already closed by the peer: no data is queued
     }
 }
 
-void HttpClient::Impl::drop(Connection &connection)
+void HttpClient::Impl::closeConnection(Connection &connection)
 {
     loop.timers().cancel(connection.timer);
-    loop.forget(connection.socket);
+    loop.unwatch(connection.socket);
     connection.socket.close();
     if (connection.step == Step::Idle) {
-        std::erase(idle, connection.key);
+        std::erase(idleKeys, connection.key);
     }
     connections.erase(connection.key); // destroys the connection
 }
 
-void HttpClient::Impl::updateInterest(Connection &connection)
+void HttpClient::Impl::updatePollModes(Connection &connection)
 {
-    int wanted = errorMode;
-    wanted |= connection.paused ? 0 : readMode;
-    wanted |= connection.step == Step::Sending ? writeMode : 0;
-    if (wanted != connection.interest) {
-        connection.interest = wanted;
-        loop.update(connection.socket, wanted);
+    int modes = errorMode;
+    modes |= connection.isPaused ? 0 : readMode;
+    modes |= connection.step == Step::Sending ? writeMode : 0;
+    if (modes != connection.pollModes) {
+        connection.pollModes = modes;
+        loop.update(connection.socket, modes);
     }
 }
 
-void HttpClient::Impl::setTimer(Connection &connection, Duration span)
+void HttpClient::Impl::setTimer(Connection &connection, Duration timeout)
 {
     loop.timers().cancel(connection.timer);
     connection.timer =
-        loop.timers().subscribe(EventLoop::now() + span, [this, key = connection.key](TimePoint) { onTimer(key); });
+        loop.timers().subscribe(EventLoop::now() + timeout, [this, key = connection.key](TimePoint) { onTimer(key); });
 }
 
 void HttpClient::Impl::onTimer(ExchangeId key)
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -1,5 +1,4 @@
-// The parts of HTTP that the server towards callers and the client towards endpoints share: heads by POCO, and the
-// framing of bodies.
+// HTTP heads, parsed by POCO, and body framing; shared by server and client.
 #include "anvilscale/net.h"
 
 #include <Poco/Net/HTTPRequest.h>
@@ -15,14 +14,14 @@
 
 namespace {
 
-constexpr std::size_t chunkLineLimit = 256;
-constexpr std::size_t trailerLimit = 8192;
+constexpr std::size_t maxChunkLineBytes = 256;
+constexpr std::size_t maxTrailerBytes = 8192;
 constexpr std::string_view headEnd = "\r\n\r\n";
 
 bool isTokenCharacter(char c)
 {
-    const bool alphanumeric = (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z');
-    return alphanumeric || std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
+    const bool isAlphanumeric = (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z');
+    return isAlphanumeric || std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
 }
 
 bool isHeaderLine(std::string_view line)
@@ -34,12 +33,12 @@
     return std::all_of(line.begin(), line.begin() + static_cast<std::ptrdiff_t>(colon), isTokenCharacter);
 }
 
-// A lenient reader lets two processes disagree where a message ends, so that a caller could smuggle a second request
-// past the first. Symptom: an answer reaches the wrong caller. Only heads with one reading are accepted.
+// Accepts unambiguous heads only. With a lenient parser, two processes may disagree on where a message ends, so that
+// a caller can smuggle in a second request and responses reach the wrong caller.
 bool isStrictHead(std::string_view head)
 {
     std::size_t at = 0;
-    bool first = true;
+    bool isStartLine = true;
     while (at < head.size()) {
         const auto end = head.find('\n', at);
         if (end == std::string_view::npos || end == at || head[end - 1] != '\r') {
@@ -47,24 +46,24 @@
         }
         const auto line = head.substr(at, end - 1 - at);
         at = end + 1;
-        const bool control = std::any_of(line.begin(), line.end(), [](char c) {
+        const bool hasControlCharacter = std::any_of(line.begin(), line.end(), [](char c) {
             return (static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7f;
         });
-        if (control) {
+        if (hasControlCharacter) {
             return false;
         }
         if (line.empty()) {
-            return at == head.size() && !first;
+            return at == head.size() && !isStartLine;
         }
-        if (!first && !isHeaderLine(line)) {
+        if (!isStartLine && !isHeaderLine(line)) {
             return false;
         }
-        first = false;
+        isStartLine = false;
     }
     return false;
 }
 
-HttpHeaders headersOf(const Poco::Net::MessageHeader &message)
+HttpHeaders copyHeaders(const Poco::Net::MessageHeader &message)
 {
     HttpHeaders headers;
     headers.reserve(message.size());
@@ -91,21 +90,21 @@
     return number;
 }
 
-/// Length of the body as the headers tell it; no value if they tell none.
-tl::expected<std::optional<HttpBodyReader>, HttpProblem> framingOf(const HttpHeaders &headers)
+/// Returns the body framing that the headers give; nullopt if they give none.
+tl::expected<std::optional<HttpBodyReader>, HttpProblem> readFraming(const HttpHeaders &headers)
 {
-    const auto lengths = countHeader(headers, "Content-Length");
-    const auto encodings = countHeader(headers, "Transfer-Encoding");
-    if (lengths > 1 || encodings > 1 || (lengths != 0 && encodings != 0)) {
+    const auto lengthCount = countHeader(headers, "Content-Length");
+    const auto encodingCount = countHeader(headers, "Transfer-Encoding");
+    if (lengthCount > 1 || encodingCount > 1 || (lengthCount != 0 && encodingCount != 0)) {
         return tl::unexpected(HttpProblem::BadHead);
     }
-    if (encodings != 0) {
+    if (encodingCount != 0) {
         if (Poco::icompare(*findHeader(headers, "Transfer-Encoding"), "chunked") != 0) {
             return tl::unexpected(HttpProblem::UnsupportedEncoding);
         }
         return HttpBodyReader(HttpBodyReader::Framing::Chunked, 0);
     }
-    if (lengths == 0) {
+    if (lengthCount == 0) {
         return std::nullopt;
     }
     const auto length = parseNumber(*findHeader(headers, "Content-Length"), 10);
@@ -119,9 +118,9 @@
 
 const std::string *findHeader(const HttpHeaders &headers, std::string_view name)
 {
-    const std::string wanted(name);
+    const std::string nameText(name);
     for (const auto &header : headers) {
-        if (Poco::icompare(header.first, wanted) == 0) {
+        if (Poco::icompare(header.first, nameText) == 0) {
             return &header.second;
         }
     }
@@ -137,63 +136,63 @@
     return std::find(names.begin(), names.end(), lower) != names.end() || lower == "expect";
 }
 
-std::uint32_t statusOf(HttpProblem problem)
+std::uint32_t statusOf(HttpProblem reason)
 {
     static constexpr std::array<std::uint32_t, enumCount<HttpProblem>> table{200, 400, 431, 400, 413,
                                                                              501, 417, 408, 408, 503};
-    return table[static_cast<std::size_t>(problem)];
+    return table[static_cast<std::size_t>(reason)];
 }
 
 HttpBodyReader::HttpBodyReader(Framing framing, std::uint64_t length)
     : framing_(framing)
     , step_(framing == Framing::Chunked ? Step::Size : Step::Data)
-    , left_(length)
+    , remainingBytes_(length)
 {
     if (framing == Framing::Length && length == 0) {
         step_ = Step::Done;
     }
 }
 
-std::size_t HttpBodyReader::take(std::string_view in, std::string &out)
+std::size_t HttpBodyReader::read(std::string_view in, std::string &out)
 {
-    std::size_t used = 0;
-    while (used < in.size() && !done() && !broken()) {
-        const auto rest = in.substr(used);
+    std::size_t consumed = 0;
+    while (consumed < in.size() && !isDone() && !isBroken()) {
+        const auto rest = in.substr(consumed);
         if (step_ != Step::Data) {
-            used += takeLine(rest);
+            consumed += readLine(rest);
             continue;
         }
-        const auto part = framing_ == Framing::UntilClose ? rest : rest.substr(0, left_);
+        const auto part = framing_ == Framing::UntilClose ? rest : rest.substr(0, remainingBytes_);
         out.append(part);
-        used += part.size();
+        consumed += part.size();
         if (framing_ == Framing::UntilClose) {
             continue;
         }
-        left_ -= part.size();
-        if (left_ == 0) {
+        remainingBytes_ -= part.size();
+        if (remainingBytes_ == 0) {
             step_ = framing_ == Framing::Chunked ? Step::DataEnd : Step::Done;
         }
     }
-    return used;
+    return consumed;
 }
 
-std::size_t HttpBodyReader::takeLine(std::string_view in)
+std::size_t HttpBodyReader::readLine(std::string_view in)
 {
     const auto end = in.find('\n');
     const auto part = in.substr(0, end == std::string_view::npos ? in.size() : end + 1);
     line_.append(part);
-    if (line_.size() > (step_ == Step::Trailer ? trailerLimit : chunkLineLimit)) {
+    if (line_.size() > (step_ == Step::Trailer ? maxTrailerBytes : maxChunkLineBytes)) {
         step_ = Step::Broken;
         return part.size();
     }
     if (end != std::string_view::npos) {
-        onLine();
+        processLine();
         line_.clear();
     }
     return part.size();
 }
 
-void HttpBodyReader::onLine()
+void HttpBodyReader::processLine()
 {
     if (line_.size() < 2 || line_[line_.size() - 2] != '\r') {
         step_ = Step::Broken;
@@ -206,7 +205,7 @@
     }
     if (step_ == Step::Trailer) {
         trailerBytes_ += line_.size();
-        step_ = line_.empty() ? Step::Done : trailerBytes_ > trailerLimit ? Step::Broken : Step::Trailer;
+        step_ = line_.empty() ? Step::Done : trailerBytes_ > maxTrailerBytes ? Step::Broken : Step::Trailer;
         return;
     }
     const auto size = parseNumber(std::string_view(line_).substr(0, line_.find(';')), 16);
@@ -214,16 +213,16 @@
         step_ = Step::Broken;
         return;
     }
-    left_ = *size;
-    step_ = left_ == 0 ? Step::Trailer : Step::Data;
+    remainingBytes_ = *size;
+    step_ = remainingBytes_ == 0 ? Step::Trailer : Step::Data;
 }
 
-bool HttpBodyReader::done() const
+bool HttpBodyReader::isDone() const
 {
     return step_ == Step::Done;
 }
 
-bool HttpBodyReader::broken() const
+bool HttpBodyReader::isBroken() const
 {
     return step_ == Step::Broken;
 }
@@ -240,7 +239,7 @@
 }
 
 tl::expected<std::pair<HttpRequestData, HttpBodyReader>, HttpProblem> parseRequestHead(std::string_view head,
-                                                                                       std::uint64_t bodyLimit)
+                                                                                       std::uint64_t maxBodyBytes)
 {
     if (!isStrictHead(head)) {
         return tl::unexpected(HttpProblem::BadHead);
@@ -252,27 +251,27 @@
     } catch (const Poco::Exception &) {
         return tl::unexpected(HttpProblem::BadHead);
     }
-    const bool modern = request.getVersion() == Poco::Net::HTTPMessage::HTTP_1_1;
-    if (!modern && request.getVersion() != Poco::Net::HTTPMessage::HTTP_1_0) {
+    const bool isHttp11 = request.getVersion() == Poco::Net::HTTPMessage::HTTP_1_1;
+    if (!isHttp11 && request.getVersion() != Poco::Net::HTTPMessage::HTTP_1_0) {
         return tl::unexpected(HttpProblem::BadHead);
     }
     HttpRequestData data;
     data.method = request.getMethod();
     data.target = request.getURI();
-    data.headers = headersOf(request);
+    data.headers = copyHeaders(request);
     data.keepAlive = request.getKeepAlive();
-    data.chunkedAnswers = modern;
-    const bool hostOk = !modern || countHeader(data.headers, "Host") == 1;
-    if (data.target.empty() || data.target[0] != '/' || !hostOk
+    data.acceptsChunked = isHttp11;
+    const bool hasValidHost = !isHttp11 || countHeader(data.headers, "Host") == 1;
+    if (data.target.empty() || data.target[0] != '/' || !hasValidHost
         || !std::all_of(data.method.begin(), data.method.end(), isTokenCharacter)) {
         return tl::unexpected(HttpProblem::BadHead);
     }
-    const auto framing = framingOf(data.headers);
+    const auto framing = readFraming(data.headers);
     if (!framing) {
         return tl::unexpected(framing.error());
     }
     const auto *length = findHeader(data.headers, "Content-Length");
-    if (length != nullptr && parseNumber(*length, 10).value_or(0) > bodyLimit) {
+    if (length != nullptr && parseNumber(*length, 10).value_or(0) > maxBodyBytes) {
         return tl::unexpected(HttpProblem::BodyTooLarge);
     }
     const auto *expect = findHeader(data.headers, "Expect");
@@ -282,7 +281,7 @@
     return std::pair(std::move(data), framing->value_or(HttpBodyReader()));
 }
 
-tl::expected<HttpResponseHead, HttpProblem> parseResponseHead(std::string_view head, bool bodyless)
+tl::expected<HttpResponseHead, HttpProblem> parseResponseHead(std::string_view head, bool isHeadRequest)
 {
     if (!isStrictHead(head)) {
         return tl::unexpected(HttpProblem::BadHead);
@@ -296,13 +295,13 @@
     }
     HttpResponseHead result;
     result.status = static_cast<std::uint32_t>(response.getStatus());
-    result.headers = headersOf(response);
+    result.headers = copyHeaders(response);
     result.keepAlive = response.getKeepAlive();
-    const bool noBody = bodyless || result.status == 204 || result.status == 304 || result.status / 100 == 1;
-    if (noBody) {
+    const bool hasNoBody = isHeadRequest || result.status == 204 || result.status == 304 || result.status / 100 == 1;
+    if (hasNoBody) {
         return result;
     }
-    const auto framing = framingOf(result.headers);
+    const auto framing = readFraming(result.headers);
     if (!framing) {
         return tl::unexpected(framing.error());
     }
@@ -313,8 +312,8 @@
     return result;
 }
 
-std::string requestHead(std::string_view method, std::string_view target, std::string_view host,
-                        const HttpHeaders &headers, std::size_t bodyBytes, bool keepAlive)
+std::string formatRequestHead(std::string_view method, std::string_view target, std::string_view host,
+                              const HttpHeaders &headers, std::size_t bodyBytes, bool keepAlive)
 {
     Poco::Net::HTTPRequest request(std::string(method), std::string(target), Poco::Net::HTTPMessage::HTTP_1_1);
     request.setHost(std::string(host));
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -1,4 +1,4 @@
-// The HTTP server: a listener, event loops with their connections, and the way from an exchange to its connection.
+// HTTP server: the listener, the traffic threads with their connections, and the lookup of connections by exchange.
 #include "caller_connection.h"
 
 #include <Poco/Net/NetException.h>
@@ -15,10 +15,10 @@
 namespace {
 
 constexpr int listenBacklog = 1024;
-constexpr int acceptsAtOnce = 64;
-constexpr std::uint64_t loopBits = 8;
-constexpr std::uint64_t loopMask = (1U << loopBits) - 1;
-constexpr Duration drainCheck = Milliseconds(50);
+constexpr int maxAcceptsPerPoll = 64;
+constexpr std::uint64_t workerBits = 8;
+constexpr std::uint64_t workerMask = (1U << workerBits) - 1;
+constexpr Duration drainCheckInterval = Milliseconds(50);
 
 struct AtomicStats
 {
@@ -29,26 +29,26 @@
     std::atomic<std::uint32_t> open = 0;
 };
 
-// One traffic thread with its connections. Everything but the loop itself belongs to that thread.
+// A traffic thread with its connections. All members but the loop itself are used on that thread only.
 struct Worker
 {
-    std::uint64_t number = 0;
+    std::uint64_t index = 0;
     std::uint64_t lastExchange = 0;
     std::uint64_t lastConnection = 0;
     std::unordered_map<std::uint64_t, std::unique_ptr<CallerConnection>> connections;
-    std::unordered_map<std::uint64_t, std::uint64_t> exchanges; // exchange to connection
+    std::unordered_map<std::uint64_t, std::uint64_t> connectionByExchange; // connection id by exchange
     CallerConnectionContext context;
-    HttpServerInit limits; // the server's, with what updateLimits has changed
+    HttpServerInit limits; // the server's settings with the changes of updateLimits()
     std::unique_ptr<EventLoop> loop;
 
-    CallerConnection *find(HttpExchange exchange)
+    CallerConnection *findConnection(HttpExchange exchange)
     {
-        const auto found = exchanges.find(exchange.value);
-        return found == exchanges.end() ? nullptr : connections.at(found->second).get();
+        const auto found = connectionByExchange.find(exchange.value);
+        return found == connectionByExchange.end() ? nullptr : connections.at(found->second).get();
     }
 };
 
-NetErrorKind kindOf(const Poco::Exception &error)
+NetErrorKind toErrorKind(const Poco::Exception &error)
 {
     if (error.code() == EADDRINUSE) {
         return NetErrorKind::AddressInUse;
@@ -69,25 +69,25 @@
     std::vector<std::unique_ptr<Worker>> workers;
     AtomicStats stats;
     std::size_t nextWorker = 0; // first worker's thread only
-    bool listening = false; // first worker's thread only
-    std::function<void()> idle;
+    bool isListening = false; // first worker's thread only
+    std::function<void()> onDrained;
 
-    void addWorker(std::uint64_t number);
-    void accept();
+    void addWorker(std::uint64_t index);
+    void acceptPending();
     bool acceptOne();
-    void adopt(Worker &worker, const Poco::Net::StreamSocket &socket, bool overLimit);
+    void addConnection(Worker &worker, const Poco::Net::StreamSocket &socket, bool isOverLimit);
     void closeListener();
-    void checkIdle();
-    Worker &workerOf(HttpExchange exchange)
+    void checkDrained();
+    Worker &findWorker(HttpExchange exchange)
     {
-        return *workers[(exchange.value & loopMask) % workers.size()];
+        return *workers[(exchange.value & workerMask) % workers.size()];
     }
     template<class Change>
-    void change(HttpExchange exchange, Change change)
+    void updateAnswer(HttpExchange exchange, Change change)
     {
-        auto &worker = workerOf(exchange);
+        auto &worker = findWorker(exchange);
         worker.loop->post([&worker, exchange, change = std::move(change)]() mutable {
-            if (auto *connection = worker.find(exchange)) {
+            if (auto *connection = worker.findConnection(exchange)) {
                 connection->answer(change);
             }
         });
@@ -109,27 +109,27 @@
     auto impl = std::make_unique<Impl>();
     impl->init = std::move(init);
     impl->handlers = std::move(handlers);
-    const auto text = impl->init.address + ":" + std::to_string(impl->init.port);
+    const auto addressText = impl->init.address + ":" + std::to_string(impl->init.port);
     try {
-        // The address may be taken over from a process that is gone, but never shared with one that lives.
+        // Reuses the address of a process that has exited, but never shares it with a running one.
         impl->listener.bind(Poco::Net::SocketAddress(impl->init.address, impl->init.port), true, false);
         impl->listener.listen(listenBacklog);
         impl->listener.setBlocking(false);
     } catch (const Poco::Exception &error) {
-        return tl::unexpected(NetError{kindOf(error), text, error.displayText()});
+        return tl::unexpected(NetError{toErrorKind(error), addressText, error.displayText()});
     }
-    for (std::uint64_t number = 0; number < std::max<std::uint32_t>(1, impl->init.threads); ++number) {
-        impl->addWorker(number);
+    for (std::uint64_t index = 0; index < std::max<std::uint32_t>(1, impl->init.threads); ++index) {
+        impl->addWorker(index);
     }
     return std::unique_ptr<HttpServer>(new HttpServer(std::move(impl)));
 }
 
-void HttpServer::Impl::addWorker(std::uint64_t number)
+void HttpServer::Impl::addWorker(std::uint64_t index)
 {
-    auto owned = std::make_unique<Worker>();
-    auto *worker = owned.get();
-    worker->number = number;
-    worker->loop = std::make_unique<EventLoop>("http-" + std::to_string(number));
+    auto newWorker = std::make_unique<Worker>();
+    auto *worker = newWorker.get();
+    worker->index = index;
+    worker->loop = std::make_unique<EventLoop>("http-" + std::to_string(index));
     auto &context = worker->context;
     worker->limits = init;
     context.init = &worker->limits;
@@ -137,19 +137,19 @@
     context.handlers = &handlers;
     context.newExchange = [this, worker](std::uint64_t connection) {
         stats.requests += 1;
-        const HttpExchange exchange{(++worker->lastExchange << loopBits) | worker->number};
-        worker->exchanges[exchange.value] = connection;
+        const HttpExchange exchange{(++worker->lastExchange << workerBits) | worker->index};
+        worker->connectionByExchange[exchange.value] = connection;
         return exchange;
     };
-    context.endExchange = [worker](HttpExchange exchange) { worker->exchanges.erase(exchange.value); };
-    context.countProblem = [this](HttpProblem problem) { stats.problems[static_cast<std::size_t>(problem)] += 1; };
+    context.endExchange = [worker](HttpExchange exchange) { worker->connectionByExchange.erase(exchange.value); };
+    context.countError = [this](HttpProblem error) { stats.problems[static_cast<std::size_t>(error)] += 1; };
     context.countSlowReader = [this] { stats.slowReadersCut += 1; };
-    context.closed = [this, worker](std::uint64_t connection) {
+    context.onClosed = [this, worker](std::uint64_t connection) {
         if (worker->connections.erase(connection) != 0) {
             stats.open -= 1;
         }
     };
-    workers.push_back(std::move(owned));
+    workers.push_back(std::move(newWorker));
 }
 
 std::uint16_t HttpServer::port() const
@@ -160,14 +160,15 @@
 void HttpServer::start()
 {
     impl_->workers[0]->loop->post([impl = impl_.get()] {
-        impl->listening = true;
-        impl->workers[0]->loop->watch(impl->listener, Poco::Net::PollSet::POLL_READ, [impl](int) { impl->accept(); });
+        impl->isListening = true;
+        impl->workers[0]->loop->watch(impl->listener, Poco::Net::PollSet::POLL_READ,
+                                      [impl](int) { impl->acceptPending(); });
     });
 }
 
-void HttpServer::Impl::accept()
+void HttpServer::Impl::acceptPending()
 {
-    for (int i = 0; i < acceptsAtOnce && acceptOne(); ++i) {
+    for (int i = 0; i < maxAcceptsPerPoll && acceptOne(); ++i) {
     }
 }
 
@@ -180,50 +181,50 @@
         }
         socket = listener.acceptConnection();
     } catch (const Poco::Exception &) {
-        return false; // taken back by the caller, or out of descriptors: tried again at the next readiness
+        return false; // closed by the caller, or out of descriptors: retried when the listener is ready again
     }
     stats.connections += 1;
-    const bool overLimit = stats.open.fetch_add(1) >= init.connectionLimit;
+    const bool isOverLimit = stats.open.fetch_add(1) >= init.connectionLimit;
     auto &worker = *workers[nextWorker++ % workers.size()];
-    worker.loop->post([this, &worker, socket, overLimit] { adopt(worker, socket, overLimit); });
+    worker.loop->post([this, &worker, socket, isOverLimit] { addConnection(worker, socket, isOverLimit); });
     return true;
 }
 
-void HttpServer::Impl::adopt(Worker &worker, const Poco::Net::StreamSocket &socket, bool overLimit)
+void HttpServer::Impl::addConnection(Worker &worker, const Poco::Net::StreamSocket &socket, bool isOverLimit)
 {
     const auto id = ++worker.lastConnection;
     try {
         auto connection = std::make_unique<CallerConnection>(id, socket, worker.context);
-        auto *raw = connection.get();
+        auto *newConnection = connection.get();
         worker.connections.emplace(id, std::move(connection));
-        if (overLimit) {
-            raw->refuse(HttpProblem::ConnectionLimit);
+        if (isOverLimit) {
+            newConnection->refuse(HttpProblem::ConnectionLimit);
         }
     } catch (const Poco::Exception &) {
-        stats.open -= 1; // reset before it could be set up
+        stats.open -= 1; // reset by the caller during setup
     }
 }
 
 void HttpServer::Impl::closeListener()
 {
-    if (listening) {
-        listening = false;
-        // What the kernel has taken but we have not would be reset by the close, with a request perhaps on its way.
+    if (isListening) {
+        isListening = false;
+        // Closing the listener would reset the connections in its backlog, which may already carry requests.
         while (acceptOne()) {
         }
-        workers[0]->loop->forget(listener);
+        workers[0]->loop->unwatch(listener);
         listener.close();
     }
 }
 
-void HttpServer::drain(std::function<void()> idle)
+void HttpServer::drain(std::function<void()> onDrained)
 {
-    impl_->workers[0]->loop->post([impl = impl_.get(), idle = std::move(idle)] {
+    impl_->workers[0]->loop->post([impl = impl_.get(), onDrained = std::move(onDrained)] {
         impl->closeListener();
-        impl->idle = idle;
+        impl->onDrained = onDrained;
         for (auto &worker : impl->workers) {
             worker->loop->post([worker = worker.get()] {
-                worker->context.draining = true;
+                worker->context.isDraining = true;
                 std::vector<std::uint64_t> ids;
                 for (const auto &[id, connection] : worker->connections) {
                     ids.push_back(id);
@@ -233,20 +234,20 @@
                 }
             });
         }
-        impl->checkIdle();
+        impl->checkDrained();
     });
 }
 
-void HttpServer::Impl::checkIdle()
+void HttpServer::Impl::checkDrained()
 {
     if (stats.open == 0) {
-        if (auto call = std::exchange(idle, nullptr)) {
-            call();
+        if (auto callback = std::exchange(onDrained, nullptr)) {
+            callback();
         }
         return;
     }
     auto &loop = *workers[0]->loop;
-    loop.timers().subscribe(EventLoop::now() + drainCheck, [this](TimePoint) { checkIdle(); });
+    loop.timers().subscribe(EventLoop::now() + drainCheckInterval, [this](TimePoint) { checkDrained(); });
 }
 
 void HttpServer::shutdown()
@@ -257,11 +258,11 @@
     for (auto &worker : impl_->workers) {
         std::promise<void> done;
         worker->loop->post([&] {
-            if (worker->number == 0) {
+            if (worker->index == 0) {
                 impl_->closeListener();
             }
             worker->connections.clear();
-            worker->exchanges.clear();
+            worker->connectionByExchange.clear();
             done.set_value();
         });
         done.get_future().wait();
@@ -272,51 +273,51 @@
 
 void HttpServer::reply(HttpExchange exchange, HttpReply reply)
 {
-    impl_->change(exchange, [reply = std::move(reply)](HttpAnswer &answer) { answer.reply(reply); });
+    impl_->updateAnswer(exchange, [reply = std::move(reply)](HttpAnswer &answer) { answer.reply(reply); });
 }
 
 void HttpServer::begin(HttpExchange exchange, std::uint32_t status, HttpHeaders headers)
 {
-    impl_->change(exchange, [status, headers = std::move(headers)](HttpAnswer &answer) mutable {
+    impl_->updateAnswer(exchange, [status, headers = std::move(headers)](HttpAnswer &answer) mutable {
         answer.begin(status, std::move(headers));
     });
 }
 
 void HttpServer::send(HttpExchange exchange, std::string data)
 {
-    impl_->change(exchange, [data = std::move(data)](HttpAnswer &answer) { answer.send(data); });
+    impl_->updateAnswer(exchange, [data = std::move(data)](HttpAnswer &answer) { answer.send(data); });
 }
 
 void HttpServer::finish(HttpExchange exchange)
 {
-    impl_->change(exchange, [](HttpAnswer &answer) { answer.finish(); });
+    impl_->updateAnswer(exchange, [](HttpAnswer &answer) { answer.finish(); });
 }
 
 void HttpServer::fail(HttpExchange exchange, HttpReply reply)
 {
-    impl_->change(exchange, [reply = std::move(reply)](HttpAnswer &answer) { answer.fail(reply); });
+    impl_->updateAnswer(exchange, [reply = std::move(reply)](HttpAnswer &answer) { answer.fail(reply); });
 }
 
 void HttpServer::cut(HttpExchange exchange, HttpReply reply)
 {
-    impl_->change(exchange, [reply = std::move(reply)](HttpAnswer &answer) { answer.cut(reply); });
+    impl_->updateAnswer(exchange, [reply = std::move(reply)](HttpAnswer &answer) { answer.cut(reply); });
 }
 
 void HttpServer::closeAfterAnswers()
 {
     for (auto &worker : impl_->workers) {
-        worker->loop->post([worker = worker.get()] { worker->context.draining = true; });
+        worker->loop->post([worker = worker.get()] { worker->context.isDraining = true; });
     }
 }
 
-void HttpServer::updateLimits(std::uint32_t headLimit, std::uint64_t bodyLimit, Duration headTimeout,
+void HttpServer::updateLimits(std::uint32_t maxHeadBytes, std::uint64_t maxBodyBytes, Duration headTimeout,
                               Duration idleTimeout)
 {
     for (auto &worker : impl_->workers) {
-        worker->loop->post([worker = worker.get(), headLimit, bodyLimit, headTimeout, idleTimeout] {
+        worker->loop->post([worker = worker.get(), maxHeadBytes, maxBodyBytes, headTimeout, idleTimeout] {
             auto &limits = worker->limits;
-            limits.headLimit = headLimit;
-            limits.bodyLimit = bodyLimit;
+            limits.headLimit = maxHeadBytes;
+            limits.bodyLimit = maxBodyBytes;
             limits.headTimeout = headTimeout;
             limits.idleTimeout = idleTimeout;
         });
--- a/src/net/messenger.cpp
+++ b/src/net/messenger.cpp
@@ -1,4 +1,4 @@
-// The messenger towards the rest of the process: messages and commands are queued for the thread that owns the sockets.
+// Public interface of the messenger: queues messages and commands for the thread that owns the sockets.
 #include "messenger_impl.h"
 
 #include <sys/eventfd.h>
@@ -21,28 +21,28 @@
     auto impl = std::make_unique<Impl>();
     impl->init = std::move(init);
     impl->handlers = std::move(handlers);
-    const auto text = impl->init.address + ":" + (impl->init.port == 0 ? "*" : std::to_string(impl->init.port));
+    const auto endpoint = impl->init.address + ":" + (impl->init.port == 0 ? "*" : std::to_string(impl->init.port));
     try {
         impl->router = zmq::socket_t(impl->context, zmq::socket_type::router);
         auto &router = impl->router;
         router.set(zmq::sockopt::linger, lingerMs);
         router.set(zmq::sockopt::router_mandatory, true);
-        router.set(zmq::sockopt::sndhwm, socketQueue);
-        router.set(zmq::sockopt::rcvhwm, socketQueue);
-        router.set(zmq::sockopt::maxmsgsize, static_cast<std::int64_t>(impl->init.messageLimit));
-        impl->setLifeSign(router);
-        router.bind("tcp://" + text);
-        const auto bound = router.get(zmq::sockopt::last_endpoint);
-        impl->port = static_cast<std::uint16_t>(std::stoul(bound.substr(bound.rfind(':') + 1)));
+        router.set(zmq::sockopt::sndhwm, maxSocketQueue);
+        router.set(zmq::sockopt::rcvhwm, maxSocketQueue);
+        router.set(zmq::sockopt::maxmsgsize, static_cast<std::int64_t>(impl->init.maxMessageBytes));
+        impl->configureLiveness(router);
+        router.bind("tcp://" + endpoint);
+        const auto boundEndpoint = router.get(zmq::sockopt::last_endpoint);
+        impl->port = static_cast<std::uint16_t>(std::stoul(boundEndpoint.substr(boundEndpoint.rfind(':') + 1)));
     } catch (const zmq::error_t &error) {
         const auto kind = error.num() == EADDRINUSE ? NetErrorKind::AddressInUse
                           : error.num() == EACCES   ? NetErrorKind::NotPermitted
                                                     : NetErrorKind::BadAddress;
-        return tl::unexpected(NetError{kind, text, error.what()});
+        return tl::unexpected(NetError{kind, endpoint, error.what()});
     }
     impl->wakeFd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-    impl->watch.add(impl->wakeFd, std::string(wakeName));
-    impl->watch.add(impl->router, std::string(routerName));
+    impl->socketWatch.add(impl->wakeFd, std::string(wakeName));
+    impl->socketWatch.add(impl->router, std::string(routerName));
     return std::unique_ptr<Messenger>(new Messenger(std::move(impl)));
 }
 
@@ -85,10 +85,10 @@
     impl_->submit(std::move(command));
 }
 
-void Messenger::forgetPeer(PeerHandle peer)
+void Messenger::dropPeer(PeerHandle peer)
 {
     Command command;
-    command.kind = Command::Kind::ForgetPeer;
+    command.kind = Command::Kind::DropPeer;
     command.peer = peer;
     impl_->submit(std::move(command));
 }
@@ -118,14 +118,14 @@
 
 void Messenger::Impl::submit(Command command)
 {
-    bool sleeping = false;
+    bool needsWake = false;
     {
         const std::lock_guard lock(mutex);
         commands.push_back(std::move(command));
-        sleeping = !awake;
-        awake = true;
+        needsWake = !isWakePending;
+        isWakePending = true;
     }
-    if (sleeping) {
+    if (needsWake) {
         const std::uint64_t one = 1;
         [[maybe_unused]] const auto written = ::write(wakeFd, &one, sizeof one);
     }
@@ -134,28 +134,28 @@
 void Messenger::Impl::submitMessage(PeerHandle peer, const std::string &target, const wire::Envelope &message)
 {
     Command command;
-    auto &out = command.message;
-    out.peer = peer;
-    out.target = target;
-    out.since = std::chrono::steady_clock::now();
+    auto &outgoing = command.message;
+    outgoing.peer = peer;
+    outgoing.target = target;
+    outgoing.queuedAt = std::chrono::steady_clock::now();
     if (message.has_call_request()) {
-        out.request = message.call_request().id();
+        outgoing.request = message.call_request().id();
     }
-    wire::Envelope head; // protocol and number are the messenger's own
-    head.set_protocol(wireProtocol);
-    head.set_message_id(++lastMessage);
+    wire::Envelope header; // protocol and message id are set by the messenger
+    header.set_protocol(wireProtocol);
+    header.set_message_id(++lastMessage);
     const auto size = message.ByteSizeLong();
-    const auto headSize = head.ByteSizeLong();
-    out.data = zmq::message_t(size + headSize);
-    auto *bytes = static_cast<std::uint8_t *>(out.data.data());
-    // Two serialised messages one after the other are their merge; the later scalar fields win.
+    const auto headerSize = header.ByteSizeLong();
+    outgoing.data = zmq::message_t(size + headerSize);
+    auto *bytes = static_cast<std::uint8_t *>(outgoing.data.data());
+    // Concatenated serialized messages parse as their merge, in which the later scalar fields win.
     message.SerializeWithCachedSizesToArray(bytes);
-    head.SerializeWithCachedSizesToArray(bytes + size);
-    if (queuedBytes.fetch_add(out.data.size()) > init.queueBytes) {
-        queuedBytes -= out.data.size();
+    header.SerializeWithCachedSizesToArray(bytes + size);
+    if (queuedBytes.fetch_add(outgoing.data.size()) > init.maxQueuedBytes) {
+        queuedBytes -= outgoing.data.size();
         count(MessageDrop::QueueFull);
-        if (out.request) {
-            handlers.sendFailed(target, *out.request);
+        if (outgoing.request) {
+            handlers.sendFailed(target, *outgoing.request);
         }
         return;
     }
--- a/src/net/messenger_impl.h
+++ b/src/net/messenger_impl.h
@@ -1,4 +1,4 @@
-// The messenger's state: what waits to be sent, its sockets, and whom they lead to.
+// State of the messenger: queued messages, sockets, peers and targets.
 #pragma once
 
 #include "socket_watch.h"
@@ -19,20 +19,20 @@
 
 namespace anvilscale {
 
-constexpr int socketQueue = 20'000; // messages that ZeroMQ keeps for one connection
-constexpr int lingerMs = 200; // for what is queued when a socket is closed
-// Names under which the sockets that are no targets are watched; names of targets are never of this form.
+constexpr int maxSocketQueue = 20'000; // messages that ZeroMQ queues for one connection
+constexpr int lingerMs = 200; // for messages queued when a socket is closed
+// Names under which the descriptors of other than targets are watched. Target names never have this form.
 constexpr std::string_view wakeName = "\nwake";
 constexpr std::string_view routerName = "\nrouter";
 
-/// A message on its way out.
+/// A message waiting to be sent.
 struct Outgoing
 {
-    PeerHandle peer; // none: to `target`
+    PeerHandle peer; // receiver; sent to `target` if unset
     std::string target;
     zmq::message_t data;
-    std::optional<wire::AttemptId> request; // set for a call request: told if it is certainly not sent
-    std::chrono::steady_clock::time_point since; // when it was handed over
+    std::optional<wire::AttemptId> request; // set for a call request, whose failure to be sent is reported
+    std::chrono::steady_clock::time_point queuedAt; // when it was queued
 };
 
 struct Command
@@ -41,7 +41,7 @@
         Send,
         Connect,
         Disconnect,
-        ForgetPeer,
+        DropPeer,
         Stop
     };
     Kind kind = Kind::Send;
@@ -58,11 +58,11 @@
     std::uint64_t epoch = 0;
     zmq::socket_t dealer;
     zmq::socket_t monitor;
-    bool up = false;
-    bool sentAny = false; // on the present connection
-    bool lostBefore = false; // it was up once: a call for it is not kept waiting
-    std::optional<std::chrono::steady_clock::time_point> heardAt; // the last message on the present connection
-    std::deque<Outgoing> waiting; // for the connection to come up
+    bool isUp = false;
+    bool hasSent = false; // on the current connection
+    bool wasUpBefore = false; // if so, calls fail at once instead of waiting
+    std::optional<std::chrono::steady_clock::time_point> lastReceivedAt; // on the current connection
+    std::deque<Outgoing> waitingMessages; // until the connection is established
 };
 
 struct Peer
@@ -83,7 +83,7 @@
 
     std::mutex mutex;
     std::vector<Command> commands; // guarded by mutex
-    bool awake = false; // guarded by mutex
+    bool isWakePending = false; // guarded by mutex
     std::atomic<std::size_t> queuedBytes = 0;
     std::atomic<std::uint64_t> lastMessage = 0;
 
@@ -94,13 +94,13 @@
     std::atomic<std::uint64_t> receivedBytes = 0;
 
     // The messenger's thread only.
-    std::unordered_map<std::string, PeerHandle> peersByIdentity;
-    std::unordered_map<PeerHandle, std::string> identities;
+    std::unordered_map<std::string, PeerHandle> peerByIdentity;
+    std::unordered_map<PeerHandle, std::string> identityByPeer;
     std::uint64_t lastPeer = 0;
     std::map<std::string, std::unique_ptr<Target>> targets;
-    SocketWatch watch; // of the wake-up and the router under reserved names, of targets under theirs
-    std::chrono::steady_clock::time_point polledAt; // when this thread last looked at the sockets
-    bool stopping = false;
+    SocketWatch socketWatch; // under wakeName, routerName and the names of the targets
+    std::chrono::steady_clock::time_point lastPollAt; // when reopenSilentTargets() last ran
+    bool isStopping = false;
 
     ~Impl()
     {
@@ -109,9 +109,9 @@
         }
     }
 
-    void count(MessageDrop why)
+    void count(MessageDrop reason)
     {
-        dropped[static_cast<std::size_t>(why)] += 1;
+        dropped[static_cast<std::size_t>(reason)] += 1;
     }
     void submit(Command command);
     void submitMessage(PeerHandle peer, const std::string &target, const wire::Envelope &message);
@@ -121,20 +121,20 @@
     void runCommand(Command &command);
     void connectTarget(const std::string &name, const std::string &address, std::uint64_t epoch);
     void openDealer(Target &target);
-    void reopen(Target &target);
-    void forgetTarget(const std::string &name);
+    void reopenConnection(Target &target);
+    void removeTarget(const std::string &name);
     void send(Outgoing message);
     void sendToPeer(Outgoing message);
     void sendToTarget(Target &target, Outgoing message);
-    bool push(zmq::socket_t &socket, Outgoing &message);
-    void notSent(const Outgoing &message, MessageDrop why);
-    void losePeer(PeerHandle peer);
+    bool trySendMessage(zmq::socket_t &socket, Outgoing &message);
+    void onSendFailed(const Outgoing &message, MessageDrop reason);
+    void onPeerUnreachable(PeerHandle peer);
     void receivePeers();
     void receiveTarget(Target &target);
-    void watchTarget(Target &target);
-    void dropSilent();
-    void setLifeSign(zmq::socket_t &socket) const;
-    void flushWaiting(Target &target);
+    void handleMonitorEvents(Target &target);
+    void reopenSilentTargets();
+    void configureLiveness(zmq::socket_t &socket) const;
+    void sendWaiting(Target &target);
     void expireWaiting(Target &target);
     bool parse(const zmq::message_t &data, wire::Envelope &message);
 };
--- a/src/net/messenger_thread.cpp
+++ b/src/net/messenger_thread.cpp
@@ -1,5 +1,5 @@
-// The messenger's thread: one ROUTER that is bound and a DEALER for each target. Other threads hand messages over
-// through a queue; an eventfd wakes the thread.
+// Thread of the messenger: a bound ROUTER and a DEALER per target. Other threads submit commands through a queue and
+// wake the thread by an eventfd.
 #include "messenger_impl.h"
 
 #include <sys/eventfd.h>
@@ -11,38 +11,38 @@
 
 namespace {
 
-constexpr int receivesAtOnce = 256; // from one socket before the others get their turn
-constexpr auto longestWait = std::chrono::milliseconds(200); // expiry of waiting messages is looked at this often
-constexpr auto retryWait = std::chrono::milliseconds(2); // while a connection that came up takes nothing yet
-constexpr int reconnectMs = 50;
-constexpr int reconnectMaxMs = 1000;
-constexpr int keepAliveSeconds = 1; // the kernel counts in whole seconds
+constexpr int maxReceivesPerTurn = 256; // from one socket before the others are served
+constexpr auto maxPollWait = std::chrono::milliseconds(200); // minimum rate of expiry checks of waiting messages
+constexpr auto retryPollWait = std::chrono::milliseconds(2); // while a new connection does not accept messages yet
+constexpr int minReconnectMs = 50;
+constexpr int maxReconnectMs = 1000;
+constexpr int keepAliveSeconds = 1; // the kernel's unit is one second
 constexpr int keepAliveProbes = 2;
 constexpr int millisecondsPerSecond = 1000;
 constexpr std::uint16_t connectedEvent = ZMQ_EVENT_HANDSHAKE_SUCCEEDED;
-constexpr std::uint16_t lostEvent = ZMQ_EVENT_DISCONNECTED;
+constexpr std::uint16_t disconnectedEvent = ZMQ_EVENT_DISCONNECTED;
 
-std::string hex(std::uint64_t number)
+std::string toHex(std::uint64_t number)
 {
     std::array<char, 17> text{};
     const auto length = std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(number));
     return {text.data(), static_cast<std::size_t>(length)};
 }
 
-/// Part of a connection's name at the other end, never used twice. A target that is connected to anew before its last
-/// connection is gone had the same name again: the new connection never counted as up, and what was sent to it was lost
-/// for good.
+/// Returns a number that is part of a connection's identity at the other end and never reused. A target that
+/// reconnected under the identity of a connection that still exists would never come up, and messages to it would be
+/// lost.
 std::uint64_t nextEpoch()
 {
-    static std::atomic<std::uint64_t> last = 0;
-    return ++last;
+    static std::atomic<std::uint64_t> lastEpoch = 0;
+    return ++lastEpoch;
 }
 
 } // namespace
 
 void Messenger::Impl::run()
 {
-    while (!stopping) {
+    while (!isStopping) {
         try {
             poll();
             runCommands();
@@ -58,48 +58,48 @@
 
 void Messenger::Impl::poll()
 {
-    const bool anyWaits = std::any_of(targets.begin(), targets.end(), [](const auto &entry) {
-        return entry.second->up && !entry.second->waiting.empty();
+    const bool hasWaiting = std::any_of(targets.begin(), targets.end(), [](const auto &entry) {
+        return entry.second->isUp && !entry.second->waitingMessages.empty();
     });
-    const auto due = watch.wait(anyWaits ? retryWait : longestWait);
-    if (due.count(std::string(wakeName)) != 0) {
+    const auto readyNames = socketWatch.wait(hasWaiting ? retryPollWait : maxPollWait);
+    if (readyNames.count(std::string(wakeName)) != 0) {
         std::uint64_t value = 0;
         [[maybe_unused]] const auto got = ::read(wakeFd, &value, sizeof value);
     }
-    if (due.count(std::string(routerName)) != 0) {
+    if (readyNames.count(std::string(routerName)) != 0) {
         receivePeers();
     }
-    for (const auto &name : due) {
+    for (const auto &name : readyNames) {
         if (const auto found = targets.find(name); found != targets.end()) {
             receiveTarget(*found->second);
-            watchTarget(*found->second);
+            handleMonitorEvents(*found->second);
         }
     }
     for (auto &[name, target] : targets) {
-        flushWaiting(*target);
+        sendWaiting(*target);
         expireWaiting(*target);
     }
     if (init.lifeSign == LifeSign::KeepAlive) {
-        dropSilent();
+        reopenSilentTargets();
     }
 }
 
-// A connection may go silent for good without a reset, while new ones work. Time in which this thread did not run says
-// nothing: messages of that time may still be unread.
-void Messenger::Impl::dropSilent()
+// Reopens connections that stopped delivering messages without a reset. Time in which this thread did not run does
+// not count, as messages that arrived meanwhile may still be unread.
+void Messenger::Impl::reopenSilentTargets()
 {
     const auto now = std::chrono::steady_clock::now();
-    const auto paused = std::max(std::chrono::steady_clock::duration::zero(), now - polledAt - 2 * longestWait);
-    polledAt = now;
+    const auto pausedTime = std::max(std::chrono::steady_clock::duration::zero(), now - lastPollAt - 2 * maxPollWait);
+    lastPollAt = now;
     for (auto &[name, target] : targets) {
-        if (!target->up || !target->heardAt) {
+        if (!target->isUp || !target->lastReceivedAt) {
             continue;
         }
-        *target->heardAt += paused;
-        if (now - *target->heardAt < init.silence) {
+        *target->lastReceivedAt += pausedTime;
+        if (now - *target->lastReceivedAt < init.silence) {
             continue;
         }
-        reopen(*target);
+        reopenConnection(*target);
         handlers.targetLost(target->name);
     }
 }
@@ -110,7 +110,7 @@
     {
         const std::lock_guard lock(mutex);
         batch.swap(commands);
-        awake = false;
+        isWakePending = false;
     }
     for (auto &command : batch) {
         runCommand(command);
@@ -128,77 +128,77 @@
         connectTarget(command.name, command.address, nextEpoch());
         return;
     case Command::Kind::Disconnect:
-        forgetTarget(command.name);
+        removeTarget(command.name);
         return;
-    case Command::Kind::ForgetPeer:
-        if (const auto found = identities.find(command.peer); found != identities.end()) {
-            peersByIdentity.erase(found->second);
-            identities.erase(found);
+    case Command::Kind::DropPeer:
+        if (const auto found = identityByPeer.find(command.peer); found != identityByPeer.end()) {
+            peerByIdentity.erase(found->second);
+            identityByPeer.erase(found);
         }
         return;
     case Command::Kind::Stop:
-        stopping = true;
+        isStopping = true;
         return;
     }
 }
 
-void Messenger::Impl::forgetTarget(const std::string &name)
+void Messenger::Impl::removeTarget(const std::string &name)
 {
     const auto found = targets.find(name);
     if (found == targets.end()) {
         return;
     }
-    watch.remove(found->second->dealer);
-    watch.remove(found->second->monitor);
+    socketWatch.remove(found->second->dealer);
+    socketWatch.remove(found->second->monitor);
     targets.erase(found);
 }
 
 void Messenger::Impl::connectTarget(const std::string &name, const std::string &address, std::uint64_t epoch)
 {
-    auto &slot = targets[name];
-    if (slot && slot->address == address) {
+    auto &target = targets[name];
+    if (target && target->address == address) {
         return;
     }
-    if (slot) {
-        watch.remove(slot->dealer);
-        watch.remove(slot->monitor);
+    if (target) {
+        socketWatch.remove(target->dealer);
+        socketWatch.remove(target->monitor);
     }
-    slot = std::make_unique<Target>();
-    slot->name = name;
-    slot->address = address;
-    slot->epoch = epoch;
-    openDealer(*slot);
+    target = std::make_unique<Target>();
+    target->name = name;
+    target->address = address;
+    target->epoch = epoch;
+    openDealer(*target);
 }
 
 void Messenger::Impl::openDealer(Target &target)
 {
-    target.up = false;
-    target.sentAny = false;
-    target.heardAt.reset();
+    target.isUp = false;
+    target.hasSent = false;
+    target.lastReceivedAt.reset();
     target.dealer = zmq::socket_t(context, zmq::socket_type::dealer);
     auto &dealer = target.dealer;
-    // The last part makes each connection a new peer at the other end: answers to requests of an old connection
-    // cannot arrive here, and the other end learns that the old one is lost.
-    dealer.set(zmq::sockopt::routing_id, init.name + "/" + hex(init.incarnation) + "/" + hex(target.epoch));
+    // The epoch makes each connection a new peer at the other end: replies to requests of an old connection cannot
+    // arrive here, and the other end detects that the old one is lost.
+    dealer.set(zmq::sockopt::routing_id, init.name + "/" + toHex(init.incarnation) + "/" + toHex(target.epoch));
     dealer.set(zmq::sockopt::linger, lingerMs);
     dealer.set(zmq::sockopt::immediate, true);
-    dealer.set(zmq::sockopt::sndhwm, socketQueue);
-    dealer.set(zmq::sockopt::rcvhwm, socketQueue);
-    dealer.set(zmq::sockopt::maxmsgsize, static_cast<std::int64_t>(init.messageLimit));
-    dealer.set(zmq::sockopt::reconnect_ivl, reconnectMs);
-    dealer.set(zmq::sockopt::reconnect_ivl_max, reconnectMaxMs);
-    setLifeSign(dealer);
-    const auto events = "inproc://monitor/" + target.name + "/" + hex(target.epoch);
-    zmq_socket_monitor(dealer.handle(), events.c_str(), connectedEvent | lostEvent);
+    dealer.set(zmq::sockopt::sndhwm, maxSocketQueue);
+    dealer.set(zmq::sockopt::rcvhwm, maxSocketQueue);
+    dealer.set(zmq::sockopt::maxmsgsize, static_cast<std::int64_t>(init.maxMessageBytes));
+    dealer.set(zmq::sockopt::reconnect_ivl, minReconnectMs);
+    dealer.set(zmq::sockopt::reconnect_ivl_max, maxReconnectMs);
+    configureLiveness(dealer);
+    const auto events = "inproc://monitor/" + target.name + "/" + toHex(target.epoch);
+    zmq_socket_monitor(dealer.handle(), events.c_str(), connectedEvent | disconnectedEvent);
     target.monitor = zmq::socket_t(context, zmq::socket_type::pair);
     target.monitor.set(zmq::sockopt::linger, 0);
     target.monitor.connect(events);
     dealer.connect("tcp://" + target.address);
-    watch.add(dealer, target.name);
-    watch.add(target.monitor, target.name);
+    socketWatch.add(dealer, target.name);
+    socketWatch.add(target.monitor, target.name);
 }
 
-void Messenger::Impl::setLifeSign(zmq::socket_t &socket) const
+void Messenger::Impl::configureLiveness(zmq::socket_t &socket) const
 {
     if (init.lifeSign == LifeSign::Heartbeats) {
         socket.set(zmq::sockopt::heartbeat_ivl, static_cast<int>(init.heartbeat.count() / 1000));
@@ -209,16 +209,16 @@
     socket.set(zmq::sockopt::tcp_keepalive_idle, keepAliveSeconds);
     socket.set(zmq::sockopt::tcp_keepalive_intvl, keepAliveSeconds);
     socket.set(zmq::sockopt::tcp_keepalive_cnt, keepAliveProbes);
-    // Probes are sent on idle connections only; this is the same for one with bytes under way.
+    // Keep-alive probes cover idle connections only; this bounds the retransmission of unacknowledged data.
     socket.set(zmq::sockopt::tcp_maxrt, (1 + keepAliveProbes) * keepAliveSeconds * millisecondsPerSecond);
 }
 
-void Messenger::Impl::reopen(Target &target)
+void Messenger::Impl::reopenConnection(Target &target)
 {
     target.epoch = nextEpoch();
-    target.lostBefore = true;
-    watch.remove(target.dealer);
-    watch.remove(target.monitor);
+    target.wasUpBefore = true;
+    socketWatch.remove(target.dealer);
+    socketWatch.remove(target.monitor);
     zmq_socket_monitor(target.dealer.handle(), nullptr, 0);
     target.monitor.close();
     target.dealer.set(zmq::sockopt::linger, 0);
@@ -226,9 +226,9 @@
     openDealer(target);
 }
 
-void Messenger::Impl::notSent(const Outgoing &message, MessageDrop why)
+void Messenger::Impl::onSendFailed(const Outgoing &message, MessageDrop reason)
 {
-    count(why);
+    count(reason);
     if (message.request) {
         handlers.sendFailed(message.target, *message.request);
     }
@@ -242,16 +242,16 @@
     }
     const auto found = targets.find(message.target);
     if (found == targets.end()) {
-        notSent(message, MessageDrop::PeerGone);
+        onSendFailed(message, MessageDrop::PeerGone);
         return;
     }
     sendToTarget(*found->second, std::move(message));
 }
 
-bool Messenger::Impl::push(zmq::socket_t &socket, Outgoing &message)
+bool Messenger::Impl::trySendMessage(zmq::socket_t &socket, Outgoing &message)
 {
     const auto size = message.data.size();
-    watch.used(message.peer ? std::string(routerName) : message.target);
+    socketWatch.markUsed(message.peer ? std::string(routerName) : message.target);
     if (!socket.send(message.data, zmq::send_flags::dontwait)) {
         return false;
     }
@@ -262,81 +262,81 @@
 
 void Messenger::Impl::sendToPeer(Outgoing message)
 {
-    const auto found = identities.find(message.peer);
-    if (found == identities.end()) {
+    const auto found = identityByPeer.find(message.peer);
+    if (found == identityByPeer.end()) {
         count(MessageDrop::PeerGone);
         return;
     }
     try {
         zmq::message_t identity(found->second);
         if (!router.send(identity, zmq::send_flags::sndmore | zmq::send_flags::dontwait)) {
-            watch.used(std::string(routerName));
+            socketWatch.markUsed(std::string(routerName));
             count(MessageDrop::PeerBusy);
             return;
         }
-        push(router, message);
+        trySendMessage(router, message);
     } catch (const zmq::error_t &error) {
         if (error.num() != EHOSTUNREACH) {
             throw;
         }
         count(MessageDrop::PeerGone);
-        losePeer(message.peer);
+        onPeerUnreachable(message.peer);
     }
 }
 
-void Messenger::Impl::losePeer(PeerHandle peer)
+void Messenger::Impl::onPeerUnreachable(PeerHandle peer)
 {
-    const auto found = identities.find(peer);
-    if (found == identities.end()) {
+    const auto found = identityByPeer.find(peer);
+    if (found == identityByPeer.end()) {
         return;
     }
-    peersByIdentity.erase(found->second);
-    identities.erase(found);
+    peerByIdentity.erase(found->second);
+    identityByPeer.erase(found);
     handlers.peerLost(peer);
 }
 
 void Messenger::Impl::sendToTarget(Target &target, Outgoing message)
 {
-    if (!target.up && target.lostBefore && message.request) {
-        notSent(message, MessageDrop::PeerGone);
+    if (!target.isUp && target.wasUpBefore && message.request) {
+        onSendFailed(message, MessageDrop::PeerGone);
         return;
     }
-    if (!target.up || !target.waiting.empty()) {
-        if (target.waiting.size() >= init.connectQueue) {
-            notSent(target.waiting.front(), MessageDrop::PeerGone);
-            target.waiting.pop_front();
+    if (!target.isUp || !target.waitingMessages.empty()) {
+        if (target.waitingMessages.size() >= init.maxConnectQueue) {
+            onSendFailed(target.waitingMessages.front(), MessageDrop::PeerGone);
+            target.waitingMessages.pop_front();
         }
-        target.waiting.push_back(std::move(message));
+        target.waitingMessages.push_back(std::move(message));
         return;
     }
-    if (push(target.dealer, message)) {
-        target.sentAny = true;
-    } else if (!target.sentAny) {
-        // The connection is up but not yet attached to the socket: in a moment it takes messages.
-        target.waiting.push_back(std::move(message));
+    if (trySendMessage(target.dealer, message)) {
+        target.hasSent = true;
+    } else if (!target.hasSent) {
+        // The connection is up but not yet attached to the socket; it will accept messages shortly.
+        target.waitingMessages.push_back(std::move(message));
     } else {
-        notSent(message, MessageDrop::PeerBusy);
+        onSendFailed(message, MessageDrop::PeerBusy);
     }
 }
 
-void Messenger::Impl::flushWaiting(Target &target)
+void Messenger::Impl::sendWaiting(Target &target)
 {
-    while (target.up && !target.waiting.empty()) {
-        if (!push(target.dealer, target.waiting.front())) {
+    while (target.isUp && !target.waitingMessages.empty()) {
+        if (!trySendMessage(target.dealer, target.waitingMessages.front())) {
             return;
         }
-        target.sentAny = true;
-        target.waiting.pop_front();
+        target.hasSent = true;
+        target.waitingMessages.pop_front();
     }
 }
 
-// A call must not wait for a process that may never come: it is tried elsewhere.
+// Fails messages that have waited too long, so that their calls can be routed elsewhere.
 void Messenger::Impl::expireWaiting(Target &target)
 {
-    const auto oldest = std::chrono::steady_clock::now() - init.silence;
-    while (!target.waiting.empty() && target.waiting.front().since < oldest) {
-        notSent(target.waiting.front(), MessageDrop::PeerGone);
-        target.waiting.pop_front();
+    const auto minQueuedAt = std::chrono::steady_clock::now() - init.silence;
+    while (!target.waitingMessages.empty() && target.waitingMessages.front().queuedAt < minQueuedAt) {
+        onSendFailed(target.waitingMessages.front(), MessageDrop::PeerGone);
+        target.waitingMessages.pop_front();
     }
 }
 
@@ -344,7 +344,7 @@
 {
     received += 1;
     receivedBytes += data.size();
-    if (data.size() > init.messageLimit) {
+    if (data.size() > init.maxMessageBytes) {
         count(MessageDrop::TooLarge);
         return false;
     }
@@ -365,74 +365,74 @@
 
 void Messenger::Impl::receivePeers()
 {
-    for (int i = 0; i < receivesAtOnce; ++i) {
+    for (int i = 0; i < maxReceivesPerTurn; ++i) {
         zmq::message_t identity;
         if (!router.recv(identity, zmq::recv_flags::dontwait)) {
             return;
         }
         zmq::message_t data;
-        bool more = identity.more();
-        if (more) {
-            more = router.recv(data, zmq::recv_flags::none).has_value() && data.more();
+        bool hasMore = identity.more();
+        if (hasMore) {
+            hasMore = router.recv(data, zmq::recv_flags::none).has_value() && data.more();
         }
-        bool extra = false;
-        while (more) {
-            zmq::message_t part;
-            more = router.recv(part, zmq::recv_flags::none).has_value() && part.more();
-            extra = true;
+        bool hasExtraParts = false;
+        while (hasMore) {
+            zmq::message_t extraPart;
+            hasMore = router.recv(extraPart, zmq::recv_flags::none).has_value() && extraPart.more();
+            hasExtraParts = true;
         }
         wire::Envelope message;
-        if (extra) {
+        if (hasExtraParts) {
             count(MessageDrop::NotParsed);
             continue;
         }
         if (!parse(data, message)) {
             continue;
         }
-        auto &handle = peersByIdentity[identity.to_string()];
+        auto &handle = peerByIdentity[identity.to_string()];
         if (!handle) {
             handle = PeerHandle{++lastPeer};
-            identities[handle] = identity.to_string();
+            identityByPeer[handle] = identity.to_string();
         }
         handlers.fromPeer(handle, std::move(message));
     }
-    watch.used(std::string(routerName)); // there may be more
+    socketWatch.markUsed(std::string(routerName)); // more messages may be queued
 }
 
 void Messenger::Impl::receiveTarget(Target &target)
 {
-    for (int i = 0; i < receivesAtOnce; ++i) {
+    for (int i = 0; i < maxReceivesPerTurn; ++i) {
         zmq::message_t data;
         if (!target.dealer.recv(data, zmq::recv_flags::dontwait)) {
             return;
         }
-        target.heardAt = std::chrono::steady_clock::now();
+        target.lastReceivedAt = std::chrono::steady_clock::now();
         wire::Envelope message;
         if (parse(data, message)) {
             handlers.fromTarget(target.name, std::move(message));
         }
     }
-    watch.used(target.name); // there may be more
+    socketWatch.markUsed(target.name); // more messages may be queued
 }
 
-void Messenger::Impl::watchTarget(Target &target)
+void Messenger::Impl::handleMonitorEvents(Target &target)
 {
     zmq::message_t event;
     zmq::message_t address;
-    bool lost = false;
+    bool isLost = false;
     while (target.monitor.recv(event, zmq::recv_flags::dontwait)) {
         [[maybe_unused]] const auto got = target.monitor.recv(address, zmq::recv_flags::none);
         std::uint16_t kind = 0;
         std::memcpy(&kind, event.data(), sizeof kind);
-        if (kind == connectedEvent && !target.up) {
-            target.up = true;
+        if (kind == connectedEvent && !target.isUp) {
+            target.isUp = true;
             handlers.targetUp(target.name);
         }
-        lost = lost || (kind == lostEvent && target.up);
+        isLost = isLost || (kind == disconnectedEvent && target.isUp);
     }
-    if (lost) {
-        receiveTarget(target); // what had arrived before the loss still counts
-        reopen(target);
+    if (isLost) {
+        receiveTarget(target); // messages that arrived before the loss are still delivered
+        reopenConnection(target);
         handlers.targetLost(target.name);
         return;
     }
--- a/src/net/model_call.cpp
+++ b/src/net/model_call.cpp
@@ -1,4 +1,4 @@
-// Check of a model call's JSON body by POCO's parser, and the change of single values in place.
+// Validation of a model call's JSON body with POCO's parser, and replacement of single values in place.
 #include "anvilscale/net.h"
 
 #include <Poco/JSON/Handler.h>
@@ -13,52 +13,52 @@
 
 namespace {
 
-constexpr std::size_t prefixBytes = 1024; // of the prompt, for the prefix hash
-constexpr std::uint32_t bytesPerToken = 4; // a rough average, only used for estimates
+constexpr std::size_t maxPrefixBytes = 1024; // of the prompt, covered by the prefix hash
+constexpr std::uint32_t bytesPerToken = 4; // approximate average, for estimates only
 
 struct MemberName
 {
     std::string_view name;
-    std::string_view quoted;
+    std::string_view quotedName;
 };
 constexpr std::array rewrittenMembers{MemberName{"model", "\"model\""}, MemberName{"priority", "\"priority\""}};
 
 bool isUtf8(std::string_view text)
 {
-    std::size_t at = 0;
-    while (at < text.size()) {
-        const auto lead = static_cast<unsigned char>(text[at]);
+    std::size_t position = 0;
+    while (position < text.size()) {
+        const auto lead = static_cast<unsigned char>(text[position]);
         if (lead < 0x80) {
-            ++at;
+            ++position;
             continue;
         }
         const std::size_t length = lead >= 0xf0 ? 4 : lead >= 0xe0 ? 3 : 2;
-        const bool whole = at + length <= text.size();
-        const auto *bytes = reinterpret_cast<const unsigned char *>(text.data()) + at;
-        if (!whole || lead < 0xc2 || !Poco::UTF8Encoding::isLegal(bytes, static_cast<int>(length))) {
+        const bool isComplete = position + length <= text.size();
+        const auto *bytes = reinterpret_cast<const unsigned char *>(text.data()) + position;
+        if (!isComplete || lead < 0xc2 || !Poco::UTF8Encoding::isLegal(bytes, static_cast<int>(length))) {
             return false;
         }
-        at += length;
+        position += length;
     }
     return true;
 }
 
-/// Notes the few top-level values that matter; no tree of the body is built.
-class FactsHandler : public Poco::JSON::Handler
+/// Extracts the required top-level values without building a document tree.
+class ModelCallHandler : public Poco::JSON::Handler
 {
 public:
-    ModelCallFacts facts;
-    BodyProblem problem = BodyProblem::None;
-    bool object = false;
-    bool repeated = false; // a top-level member stands twice
+    ModelCallInfo info;
+    BodyProblem error = BodyProblem::None;
+    bool isObject = false;
+    bool hasRepeatedMember = false; // a top-level member occurs twice
 
     void reset() override
     {
     }
     void startObject() override
     {
-        object = object || depth_ == 0;
-        wrongIf(isKnownScalar());
+        isObject = isObject || depth_ == 0;
+        setWrongTypeIf(isKnownScalar());
         ++depth_;
     }
     void endObject() override
@@ -67,7 +67,7 @@
     }
     void startArray() override
     {
-        wrongIf(isKnownScalar());
+        setWrongTypeIf(isKnownScalar());
         ++depth_;
     }
     void endArray() override
@@ -77,13 +77,13 @@
     void key(const std::string &name) override
     {
         if (depth_ == 1) {
-            key_ = name;
-            repeated = repeated || !names_.insert(name).second;
+            topLevelKey_ = name;
+            hasRepeatedMember = hasRepeatedMember || !memberNames_.insert(name).second;
         }
     }
     void null() override
     {
-        wrongIf(depth_ == 1 && key_ == "model");
+        setWrongTypeIf(depth_ == 1 && topLevelKey_ == "model");
     }
     void value(int number) override
     {
@@ -103,49 +103,49 @@
     }
     void value(const std::string &text) override
     {
-        const bool top = depth_ == 1;
-        if (top && key_ == "model") {
-            facts.model = text;
+        const bool isTopLevel = depth_ == 1;
+        if (isTopLevel && topLevelKey_ == "model") {
+            info.model = text;
             return;
         }
-        wrongIf(isKnownScalar());
-        if (key_ == "prompt" || key_ == "messages") {
+        setWrongTypeIf(isKnownScalar());
+        if (topLevelKey_ == "prompt" || topLevelKey_ == "messages") {
             promptBytes_ += text.size();
-            opening_.append(text, 0, prefixBytes - std::min(prefixBytes, opening_.size()));
+            promptPrefix_.append(text, 0, maxPrefixBytes - std::min(maxPrefixBytes, promptPrefix_.size()));
         }
     }
     void value(double) override
     {
-        wrongIf(isKnownScalar());
+        setWrongTypeIf(isKnownScalar());
     }
-    void value(bool flag) override
+    void value(bool isSet) override
     {
-        if (depth_ == 1 && key_ == "stream") {
-            facts.stream = flag;
+        if (depth_ == 1 && topLevelKey_ == "stream") {
+            info.stream = isSet;
             return;
         }
-        wrongIf(isKnownScalar());
+        setWrongTypeIf(isKnownScalar());
     }
 
-    const std::set<std::string> &names() const
+    const std::set<std::string> &memberNames() const
     {
-        return names_;
+        return memberNames_;
     }
     void finish()
     {
-        facts.promptTokens = static_cast<std::uint32_t>(promptBytes_ / bytesPerToken);
-        facts.prefixHash = opening_.empty() ? 0 : hash64(opening_);
+        info.promptTokens = static_cast<std::uint32_t>(promptBytes_ / bytesPerToken);
+        info.prefixHash = promptPrefix_.empty() ? 0 : hash64(promptPrefix_);
     }
 
 private:
     bool isKnownScalar() const
     {
-        return depth_ == 1 && (key_ == "model" || key_ == "stream" || key_ == "max_tokens");
+        return depth_ == 1 && (topLevelKey_ == "model" || topLevelKey_ == "stream" || topLevelKey_ == "max_tokens");
     }
-    void wrongIf(bool wrong)
+    void setWrongTypeIf(bool isWrong)
     {
-        if (wrong) {
-            problem = BodyProblem::WrongType;
+        if (isWrong) {
+            error = BodyProblem::WrongType;
         }
     }
     void onNumber(std::int64_t number)
@@ -153,38 +153,40 @@
         if (depth_ != 1) {
             return;
         }
-        wrongIf(key_ == "model" || key_ == "stream" || (key_ == "max_tokens" && number < 0));
-        if (key_ == "max_tokens" && number >= 0) {
-            facts.maxTokens = static_cast<std::uint32_t>(std::min<std::int64_t>(number, UINT32_MAX));
+        setWrongTypeIf(topLevelKey_ == "model" || topLevelKey_ == "stream"
+                       || (topLevelKey_ == "max_tokens" && number < 0));
+        if (topLevelKey_ == "max_tokens" && number >= 0) {
+            info.maxTokens = static_cast<std::uint32_t>(std::min<std::int64_t>(number, UINT32_MAX));
         }
     }
 
     int depth_ = 0;
-    std::string key_; // of the top level
-    std::set<std::string> names_; // of top-level members seen
-    std::string opening_;
+    std::string topLevelKey_; // name of the current top-level member
+    std::set<std::string> memberNames_; // of the top-level members read so far
+    std::string promptPrefix_;
     std::size_t promptBytes_ = 0;
 };
 
-/// Depth by brackets outside strings. The parser recurses for each level: a deep body is refused before it is parsed.
-bool isTooDeep(std::string_view body, std::uint32_t limit)
+/// Counts brackets outside strings. A deep body is rejected before it is parsed, as the parser recurses once per
+/// level.
+bool isTooDeep(std::string_view body, std::uint32_t maxDepth)
 {
     std::uint32_t depth = 0;
-    bool quoted = false;
+    bool isInString = false;
     for (std::size_t i = 0; i < body.size(); ++i) {
         const char c = body[i];
-        if (quoted) {
+        if (isInString) {
             i += c == '\\' ? 1 : 0;
-            quoted = c != '"';
+            isInString = c != '"';
             continue;
         }
-        quoted = c == '"';
+        isInString = c == '"';
         if (c == '{' || c == '[') {
             ++depth;
         } else if ((c == '}' || c == ']') && depth != 0) {
             --depth;
         }
-        if (depth > limit) {
+        if (depth > maxDepth) {
             return true;
         }
     }
@@ -197,68 +199,68 @@
     std::size_t end = 0;
 };
 
-std::size_t skipSpace(std::string_view body, std::size_t at)
+std::size_t skipSpace(std::string_view body, std::size_t position)
 {
-    while (at < body.size() && std::string_view(" \t\r\n").find(body[at]) != std::string_view::npos) {
-        ++at;
+    while (position < body.size() && std::string_view(" \t\r\n").find(body[position]) != std::string_view::npos) {
+        ++position;
     }
-    return at;
+    return position;
 }
 
-std::size_t skipString(std::string_view body, std::size_t at)
+std::size_t skipString(std::string_view body, std::size_t position)
 {
-    for (++at; at < body.size() && body[at] != '"'; ++at) {
-        at += body[at] == '\\' ? 1 : 0;
+    for (++position; position < body.size() && body[position] != '"'; ++position) {
+        position += body[position] == '\\' ? 1 : 0;
     }
-    return std::min(at + 1, body.size());
+    return std::min(position + 1, body.size());
 }
 
-std::size_t skipValue(std::string_view body, std::size_t at)
+std::size_t skipValue(std::string_view body, std::size_t position)
 {
     std::size_t depth = 0;
-    while (at < body.size()) {
-        const char c = body[at];
+    while (position < body.size()) {
+        const char c = body[position];
         if (depth == 0 && (c == ',' || c == '}' || c == ']')) {
-            return at;
+            return position;
         }
         if (c == '"') {
-            at = skipString(body, at);
+            position = skipString(body, position);
             continue;
         }
         depth += c == '{' || c == '[' ? 1 : 0;
         depth -= c == '}' || c == ']' ? 1 : 0;
-        ++at;
+        ++position;
     }
-    return at;
+    return position;
 }
 
-/// Where the value of a top-level member stands. The body is known to be a valid object.
+/// Finds the value of a top-level member. `body` must be a valid JSON object.
 std::optional<Span> findMember(std::string_view body, std::string_view quotedName)
 {
-    std::size_t at = skipSpace(body, 0) + 1;
+    std::size_t position = skipSpace(body, 0) + 1;
     while (true) {
-        at = skipSpace(body, at);
-        if (at >= body.size() || body[at] != '"') {
+        position = skipSpace(body, position);
+        if (position >= body.size() || body[position] != '"') {
             return std::nullopt;
         }
-        const auto keyBegin = at;
-        at = skipString(body, at);
-        const bool found = body.substr(keyBegin, at - keyBegin) == quotedName;
-        const auto valueBegin = skipSpace(body, skipSpace(body, at) + 1);
-        at = skipValue(body, valueBegin);
-        if (found) {
-            const auto last = body.find_last_not_of(" \t\r\n", at - 1);
+        const auto keyBegin = position;
+        position = skipString(body, position);
+        const bool isMatch = body.substr(keyBegin, position - keyBegin) == quotedName;
+        const auto valueBegin = skipSpace(body, skipSpace(body, position) + 1);
+        position = skipValue(body, valueBegin);
+        if (isMatch) {
+            const auto last = body.find_last_not_of(" \t\r\n", position - 1);
             return Span{valueBegin, last + 1};
         }
-        at = skipSpace(body, at);
-        if (at >= body.size() || body[at] != ',') {
+        position = skipSpace(body, position);
+        if (position >= body.size() || body[position] != ',') {
             return std::nullopt;
         }
-        ++at;
+        ++position;
     }
 }
 
-std::string quoted(std::string_view text)
+std::string quoteString(std::string_view text)
 {
     std::string result = "\"";
     for (const char c : text) {
@@ -282,47 +284,47 @@
 
 } // namespace
 
-tl::expected<ModelCallFacts, BodyProblem> readModelCall(std::string_view body, std::uint32_t depthLimit)
+tl::expected<ModelCallInfo, BodyProblem> readModelCall(std::string_view body, std::uint32_t maxDepth)
 {
     if (!isUtf8(body)) {
         return tl::unexpected(BodyProblem::NotUtf8);
     }
-    if (isTooDeep(body, depthLimit)) {
+    if (isTooDeep(body, maxDepth)) {
         return tl::unexpected(BodyProblem::TooDeep);
     }
-    Poco::SharedPtr<FactsHandler> handler(new FactsHandler);
+    Poco::SharedPtr<ModelCallHandler> handler(new ModelCallHandler);
     try {
         Poco::JSON::Parser parser(handler);
-        parser.setDepth(depthLimit + 1);
+        parser.setDepth(maxDepth + 1);
         parser.parse(std::string(body));
     } catch (const Poco::Exception &) {
         return tl::unexpected(BodyProblem::NotJson);
     }
     handler->finish();
-    if (!handler->object) {
+    if (!handler->isObject) {
         return tl::unexpected(BodyProblem::NotObject);
     }
-    if (handler->problem != BodyProblem::None) {
-        return tl::unexpected(handler->problem);
+    if (handler->error != BodyProblem::None) {
+        return tl::unexpected(handler->error);
     }
-    // Of two "model" members the entry could take one and the engine the other: the wrong adapter would answer.
-    // A name written with escapes is known to the parser but not to rewriteModelCall, which would add a second.
-    const bool hidden = std::any_of(rewrittenMembers.begin(), rewrittenMembers.end(), [&](const auto &member) {
-        return handler->names().count(std::string(member.name)) != 0 && !findMember(body, member.quoted);
+    // With two "model" members the entry and the engine could each use a different one, and the wrong adapter would
+    // answer. rewriteModelCall() cannot find a name that is written with escapes and would add a second member.
+    const bool hasHiddenMember = std::any_of(rewrittenMembers.begin(), rewrittenMembers.end(), [&](const auto &member) {
+        return handler->memberNames().count(std::string(member.name)) != 0 && !findMember(body, member.quotedName);
     });
-    if (handler->repeated || hidden) {
+    if (handler->hasRepeatedMember || hasHiddenMember) {
         return tl::unexpected(BodyProblem::MemberTwice);
     }
-    if (handler->facts.model.empty()) {
+    if (handler->info.model.empty()) {
         return tl::unexpected(BodyProblem::ModelMissing);
     }
-    return handler->facts;
+    return handler->info;
 }
 
 std::string rewriteModelCall(std::string_view body, std::string_view model, std::optional<int> priority)
 {
     std::string result(body);
-    setMember(result, "\"model\"", quoted(model));
+    setMember(result, "\"model\"", quoteString(model));
     if (priority) {
         setMember(result, "\"priority\"", std::to_string(*priority));
     }
--- a/src/net/socket_watch.h
+++ b/src/net/socket_watch.h
@@ -1,5 +1,5 @@
-// Waits for ZeroMQ sockets by their descriptors. zmq::poll asks every socket at every turn: with one connection to each
-// of 56 sidecars that was most of an entry's processor time, while one or two sockets have something to say.
+// Waits for ZeroMQ sockets by epoll on their descriptors. zmq::poll queries every socket on each call, which is
+// costly with many connections of which few are active.
 #pragma once
 
 #include <sys/epoll.h>
@@ -15,18 +15,18 @@
 
 namespace anvilscale {
 
-/// A ZeroMQ descriptor only tells that something may have changed, once, and any call on its socket may take the news
-/// away. So every socket that was told of, or was used, is to be read until it gives nothing more.
+/// A ZeroMQ descriptor signals only once that its socket may have changed, and any call on the socket may consume the
+/// signal. So each socket that was signalled or used must be read until it is empty.
 class SocketWatch
 {
 public:
     SocketWatch()
-        : epoll_(epoll_create1(EPOLL_CLOEXEC))
+        : epollFd_(epoll_create1(EPOLL_CLOEXEC))
     {
     }
     ~SocketWatch()
     {
-        ::close(epoll_);
+        ::close(epollFd_);
     }
     SocketWatch(const SocketWatch &) = delete;
     SocketWatch &operator=(const SocketWatch &) = delete;
@@ -36,9 +36,9 @@
         epoll_event event{};
         event.events = EPOLLIN;
         event.data.fd = fd;
-        ::epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event);
-        names_[fd] = name;
-        due_.insert(name);
+        ::epoll_ctl(epollFd_, EPOLL_CTL_ADD, fd, &event);
+        nameByFd_[fd] = name;
+        pendingNames_.insert(name);
     }
     void add(const zmq::socket_t &socket, const std::string &name)
     {
@@ -47,33 +47,34 @@
     void remove(const zmq::socket_t &socket)
     {
         const int fd = socket.get(zmq::sockopt::fd);
-        ::epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr);
-        names_.erase(fd);
+        ::epoll_ctl(epollFd_, EPOLL_CTL_DEL, fd, nullptr);
+        nameByFd_.erase(fd);
     }
-    /// The socket of this name was used: it is to be read at the next turn.
-    void used(const std::string &name)
+    /// Marks the socket of this name as used, so that the next wait() returns it.
+    void markUsed(const std::string &name)
     {
-        due_.insert(name);
+        pendingNames_.insert(name);
     }
-    /// Names that are to be read now; waits only if there are none.
-    std::unordered_set<std::string> wait(std::chrono::milliseconds longest)
+    /// Returns the names of the sockets to read. Waits only if none is pending.
+    std::unordered_set<std::string> wait(std::chrono::milliseconds maxWait)
     {
         std::array<epoll_event, 64> events{};
-        const auto span = due_.empty() ? longest.count() : 0;
-        const int ready = ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), static_cast<int>(span));
-        for (int i = 0; i < ready; ++i) {
-            const auto found = names_.find(events.at(static_cast<std::size_t>(i)).data.fd);
-            if (found != names_.end()) {
-                due_.insert(found->second);
+        const auto timeoutMs = pendingNames_.empty() ? maxWait.count() : 0;
+        const int eventCount =
+            ::epoll_wait(epollFd_, events.data(), static_cast<int>(events.size()), static_cast<int>(timeoutMs));
+        for (int i = 0; i < eventCount; ++i) {
+            const auto found = nameByFd_.find(events.at(static_cast<std::size_t>(i)).data.fd);
+            if (found != nameByFd_.end()) {
+                pendingNames_.insert(found->second);
             }
         }
-        return std::exchange(due_, {});
+        return std::exchange(pendingNames_, {});
     }
 
 private:
-    int epoll_;
-    std::unordered_map<int, std::string> names_; // by descriptor
-    std::unordered_set<std::string> due_;
+    int epollFd_;
+    std::unordered_map<int, std::string> nameByFd_; // keyed by descriptor
+    std::unordered_set<std::string> pendingNames_;
 };
 
 } // namespace anvilscale
--- a/tests/unit/http_client_test.cpp
+++ b/tests/unit/http_client_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP client against a server of raw sockets: how far a request got, and what becomes of connections.
+// Tests of the HTTP client against a server of raw sockets: outcomes of exchanges and reuse of connections.
 #include "anvilscale/net.h"
 
 #include <Poco/Net/NetException.h>
@@ -14,16 +14,16 @@
 
 using Poco::Net::StreamSocket;
 
-constexpr auto longWait = std::chrono::seconds(20);
+constexpr auto maxWait = std::chrono::seconds(20);
 
-class Client : public testing::Test
+class HttpClientTest : public testing::Test
 {
 protected:
-    Client()
+    HttpClientTest()
         : server_(Poco::Net::SocketAddress("127.0.0.1", 0))
         , loop_("test")
     {
-        onLoop([this] {
+        runOnLoop([this] {
             HttpClientInit init;
             init.address = server_.address().toString();
             init.connectTimeout = Seconds(5);
@@ -32,13 +32,13 @@
             client_ = std::make_unique<HttpClient>(loop_, init);
         });
     }
-    ~Client() override
+    ~HttpClientTest() override
     {
-        onLoop([this] { client_.reset(); });
+        runOnLoop([this] { client_.reset(); });
         loop_.stop();
     }
     template<class Task>
-    void onLoop(Task task)
+    void runOnLoop(Task task)
     {
         std::promise<void> done;
         loop_.post([&] {
@@ -51,17 +51,17 @@
     {
         auto end = std::make_shared<std::promise<ExchangeEnd>>();
         auto result = end->get_future();
-        onLoop([&] {
+        runOnLoop([&] {
             EndpointRequest request;
             request.method = "POST";
             request.body = body;
             ExchangeHandlers handlers;
-            handlers.end = [end](ExchangeEnd how) { end->set_value(how); };
+            handlers.end = [end](ExchangeEnd exchangeEnd) { end->set_value(exchangeEnd); };
             id_ = client_->start(request, Duration(0), handlers);
         });
         return result;
     }
-    StreamSocket accepted()
+    StreamSocket acceptConnection()
     {
         auto socket = server_.acceptConnection();
         socket.setReceiveTimeout(Poco::Timespan(20, 0));
@@ -72,9 +72,9 @@
         std::string text;
         std::array<char, 4096> buffer{};
         while (text.find("\r\n\r\n") == std::string::npos) {
-            const int got = socket.receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
-            ASSERT_GT(got, 0);
-            text.append(buffer.data(), static_cast<std::size_t>(got));
+            const int received = socket.receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
+            ASSERT_GT(received, 0);
+            text.append(buffer.data(), static_cast<std::size_t>(received));
         }
     }
     static void send(StreamSocket &socket, const std::string &text)
@@ -86,15 +86,15 @@
         socket.setLinger(true, 0);
         socket.close();
     }
-    static ExchangeEnd endOf(std::future<ExchangeEnd> &future)
+    static ExchangeEnd waitForEnd(std::future<ExchangeEnd> &future)
     {
-        EXPECT_EQ(future.wait_for(longWait), std::future_status::ready);
+        EXPECT_EQ(future.wait_for(maxWait), std::future_status::ready);
         return future.get();
     }
-    std::uint64_t connections()
+    std::uint64_t connectionCount()
     {
         std::uint64_t count = 0;
-        onLoop([&] { count = client_->counts().connections; });
+        runOnLoop([&] { count = client_->counts().connections; });
         return count;
     }
 
@@ -104,14 +104,14 @@
     ExchangeId id_ = 0;
 };
 
-// A caller leaves while the network to the endpoint is cut; the request waits in the kernel. If the connection were
-// closed in the usual way it would be delivered when the cut is over and run for nobody. The endpoint must see a reset.
-TEST_F(Client, AnAbortResetsTheConnection)
+// Guards against a request that is queued during a network partition and delivered after its caller has left: an
+// abort must reset the connection.
+TEST_F(HttpClientTest, AbortResetsConnection)
 {
     auto end = start("body");
-    auto socket = accepted();
+    auto socket = acceptConnection();
     readRequest(socket);
-    onLoop([this] { client_->abort(id_); });
+    runOnLoop([this] { client_->abort(id_); });
     std::array<char, 16> buffer{};
     EXPECT_THROW(
         {
@@ -121,63 +121,62 @@
         Poco::Net::ConnectionResetException);
 }
 
-// An answer without a length ends with its connection. One that is reset on the way is not whole, and the caller must
-// not be told that it is.
-TEST_F(Client, AResetIsNotTheEndOfAnAnswerWithoutLength)
+// Guards against reporting a truncated response without a length as complete.
+TEST_F(HttpClientTest, ResetBreaksResponseWithoutLength)
 {
-    auto whole = start();
+    auto complete = start();
     {
-        auto socket = accepted();
+        auto socket = acceptConnection();
         readRequest(socket);
         send(socket, "HTTP/1.1 200 OK\r\n\r\nall");
         socket.close();
     }
-    EXPECT_EQ(endOf(whole), ExchangeEnd::Complete);
+    EXPECT_EQ(waitForEnd(complete), ExchangeEnd::Complete);
     auto broken = start();
     {
-        auto socket = accepted();
+        auto socket = acceptConnection();
         readRequest(socket);
         send(socket, "HTTP/1.1 200 OK\r\n\r\na part");
         reset(socket);
     }
-    EXPECT_EQ(endOf(broken), ExchangeEnd::Broken);
+    EXPECT_EQ(waitForEnd(broken), ExchangeEnd::Broken);
 }
 
-// The endpoint answers before it has read a long body, and reads on later. The rest of that body is still due on this
-// connection: a new request on it would be taken for it, and run with other bytes.
-TEST_F(Client, AnAnswerBeforeTheBodyIsOutEndsTheConnection)
+// Guards against reusing a connection whose request body is not sent completely: the endpoint would read the next
+// request as part of that body.
+TEST_F(HttpClientTest, EarlyResponseEndsConnection)
 {
     auto early = start(std::string(64U << 20, 'x'));
-    auto socket = accepted();
+    auto socket = acceptConnection();
     send(socket, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nKeep-Alive: timeout=30\r\n\r\n");
-    EXPECT_EQ(endOf(early), ExchangeEnd::Complete);
+    EXPECT_EQ(waitForEnd(early), ExchangeEnd::Complete);
     auto next = start();
-    auto second = accepted();
+    auto second = acceptConnection();
     readRequest(second);
     send(second, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    EXPECT_EQ(endOf(next), ExchangeEnd::Complete);
-    EXPECT_EQ(connections(), 2U);
+    EXPECT_EQ(waitForEnd(next), ExchangeEnd::Complete);
+    EXPECT_EQ(connectionCount(), 2U);
 }
 
-// The endpoint says that it closes idle connections after no whole second. A request sent at that moment would be lost
-// with an unknown outcome, so the connection is not used again; one that is kept longer is.
-TEST_F(Client, ConnectionsAreKeptAsLongAsTheEndpointSays)
+// Guards against sending a request on a connection that the endpoint is about to close, which would leave its outcome
+// unknown.
+TEST_F(HttpClientTest, KeepAliveTimeoutIsHonoured)
 {
     auto first = start();
-    auto socket = accepted();
+    auto socket = acceptConnection();
     readRequest(socket);
     send(socket, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: timeout=0\r\n\r\n");
-    EXPECT_EQ(endOf(first), ExchangeEnd::Complete);
+    EXPECT_EQ(waitForEnd(first), ExchangeEnd::Complete);
     auto second = start();
-    auto kept = accepted();
-    readRequest(kept);
-    send(kept, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: timeout=30\r\n\r\n");
-    EXPECT_EQ(endOf(second), ExchangeEnd::Complete);
+    auto reused = acceptConnection();
+    readRequest(reused);
+    send(reused, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: timeout=30\r\n\r\n");
+    EXPECT_EQ(waitForEnd(second), ExchangeEnd::Complete);
     auto third = start();
-    readRequest(kept);
-    send(kept, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    EXPECT_EQ(endOf(third), ExchangeEnd::Complete);
-    EXPECT_EQ(connections(), 2U);
+    readRequest(reused);
+    send(reused, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+    EXPECT_EQ(waitForEnd(third), ExchangeEnd::Complete);
+    EXPECT_EQ(connectionCount(), 2U);
 }
 
 } // namespace
