--- a/tests/unit/net_test.cpp
+++ b/tests/unit/net_test.cpp
@@ -1,4 +1,4 @@
-// The messenger between two ends in one process, with real sockets on ports given by the system.
+// Tests of the messenger between two ends in one process, over real sockets on ports assigned by the system.
 #include "anvilscale/net.h"
 
 #include <gtest/gtest.h>
@@ -11,37 +11,37 @@
 
 using namespace anvilscale;
 
-constexpr auto bound = std::chrono::seconds(20); // of waits that end long before when all is well
+constexpr auto maxWait = std::chrono::seconds(20); // waits end much earlier in a successful run
 
-/// Notes what a messenger tells; waits for it.
-class Notes
+/// Records the callbacks of a messenger and waits for them.
+class EventRecorder
 {
 public:
     Messenger::Handlers handlers()
     {
         Messenger::Handlers result;
         result.fromPeer = [this](PeerHandle peer, wire::Envelope &&message) {
-            note([&] {
+            record([&] {
                 peer_ = peer;
                 fromPeers.push_back(std::move(message));
             });
         };
-        result.peerLost = [this](PeerHandle) { note([this] { ++peersLost; }); };
+        result.peerLost = [this](PeerHandle) { record([this] { ++peersLost; }); };
         result.fromTarget = [this](const std::string &, wire::Envelope &&message) {
-            note([&] { fromTargets.push_back(std::move(message)); });
+            record([&] { fromTargets.push_back(std::move(message)); });
         };
-        result.targetUp = [this](const std::string &) { note([this] { ++targetsUp; }); };
-        result.targetLost = [this](const std::string &) { note([this] { ++targetsLost; }); };
+        result.targetUp = [this](const std::string &) { record([this] { ++targetsUp; }); };
+        result.targetLost = [this](const std::string &) { record([this] { ++targetsLost; }); };
         result.sendFailed = [this](const std::string &, const wire::AttemptId &id) {
-            note([&] { failed.push_back(id.call()); });
+            record([&] { failedCalls.push_back(id.call()); });
         };
         return result;
     }
     template<class Condition>
-    bool wait(Condition condition, Duration span = bound)
+    bool wait(Condition condition, Duration timeout = maxWait)
     {
         std::unique_lock lock(mutex_);
-        return changed_.wait_for(lock, span, condition);
+        return changed_.wait_for(lock, timeout, condition);
     }
     PeerHandle peer()
     {
@@ -51,14 +51,14 @@
 
     std::vector<wire::Envelope> fromPeers;
     std::vector<wire::Envelope> fromTargets;
-    std::vector<std::uint64_t> failed;
+    std::vector<std::uint64_t> failedCalls;
     int peersLost = 0;
     int targetsUp = 0;
     int targetsLost = 0;
 
 private:
     template<class Change>
-    void note(Change change)
+    void record(Change change)
     {
         const std::lock_guard lock(mutex_);
         change();
@@ -69,8 +69,8 @@
     PeerHandle peer_;
 };
 
-std::unique_ptr<Messenger> make(Notes &notes, const std::string &name, std::uint16_t port = 0,
-                                LifeSign lifeSign = LifeSign::Heartbeats)
+std::unique_ptr<Messenger> makeMessenger(EventRecorder &events, const std::string &name, std::uint16_t port = 0,
+                                         LifeSign lifeSign = LifeSign::Heartbeats)
 {
     MessengerInit init;
     init.address = "127.0.0.1";
@@ -80,179 +80,180 @@
     init.heartbeat = Milliseconds(50);
     init.silence = Milliseconds(500);
     init.lifeSign = lifeSign;
-    auto made = Messenger::create(init, notes.handlers());
-    EXPECT_TRUE(made);
-    (*made)->start();
-    return std::move(*made);
+    auto messenger = Messenger::create(init, events.handlers());
+    EXPECT_TRUE(messenger);
+    (*messenger)->start();
+    return std::move(*messenger);
 }
 
-std::string address(const Messenger &messenger)
+std::string addressOf(const Messenger &messenger)
 {
     return "127.0.0.1:" + std::to_string(messenger.port());
 }
 
-wire::Envelope request(std::uint64_t call)
+wire::Envelope makeCallRequest(std::uint64_t call)
 {
     wire::Envelope message;
     message.mutable_call_request()->mutable_id()->set_call(call);
     return message;
 }
 
-TEST(MessengerTest, MessagesGoBothWaysInOrder)
+TEST(MessengerTest, MessagesArriveInOrderInBothDirections)
 {
-    Notes entryNotes;
-    Notes sidecarNotes;
-    const auto entry = make(entryNotes, "entry");
-    const auto sidecar = make(sidecarNotes, "sidecar");
-    entry->connectTo("sidecar", address(*sidecar));
+    EventRecorder entryEvents;
+    EventRecorder sidecarEvents;
+    const auto entry = makeMessenger(entryEvents, "entry");
+    const auto sidecar = makeMessenger(sidecarEvents, "sidecar");
+    entry->connectTo("sidecar", addressOf(*sidecar));
     constexpr std::uint64_t count = 500;
     for (std::uint64_t call = 1; call <= count; ++call) {
-        entry->sendTo("sidecar", request(call));
+        entry->sendTo("sidecar", makeCallRequest(call));
         if (call == 10) {
-            ASSERT_TRUE(sidecarNotes.wait([&] { return sidecarNotes.fromPeers.size() == call; }));
+            ASSERT_TRUE(sidecarEvents.wait([&] { return sidecarEvents.fromPeers.size() == call; }));
         }
     }
-    ASSERT_TRUE(sidecarNotes.wait([&] { return sidecarNotes.fromPeers.size() == count; }));
+    ASSERT_TRUE(sidecarEvents.wait([&] { return sidecarEvents.fromPeers.size() == count; }));
     for (std::uint64_t call = 1; call <= count; ++call) {
-        ASSERT_EQ(sidecarNotes.fromPeers[call - 1].call_request().id().call(), call);
+        ASSERT_EQ(sidecarEvents.fromPeers[call - 1].call_request().id().call(), call);
     }
-    sidecar->sendTo(sidecarNotes.peer(), request(7));
-    ASSERT_TRUE(entryNotes.wait([&] { return entryNotes.fromTargets.size() == 1; }));
-    EXPECT_EQ(entryNotes.fromTargets[0].protocol(), wireProtocol);
+    sidecar->sendTo(sidecarEvents.peer(), makeCallRequest(7));
+    ASSERT_TRUE(entryEvents.wait([&] { return entryEvents.fromTargets.size() == 1; }));
+    EXPECT_EQ(entryEvents.fromTargets[0].protocol(), wireProtocol);
 }
 
-// Guards against a connection that has gone silent without a reset and is kept, where no heartbeats of ZeroMQ tell.
-TEST(MessengerTest, ATargetThatTalkedAndIsSilentIsConnectedToAnew)
+// Guards against keeping a connection that stopped delivering messages without a reset while ZeroMQ heartbeats are
+// off.
+TEST(MessengerTest, SilentTargetIsReconnected)
 {
-    Notes entryNotes;
-    Notes sidecarNotes;
-    const auto entry = make(entryNotes, "entry", 0, LifeSign::KeepAlive);
-    const auto sidecar = make(sidecarNotes, "sidecar", 0, LifeSign::KeepAlive);
-    entry->connectTo("sidecar", address(*sidecar));
-    entry->sendTo("sidecar", request(1));
-    ASSERT_TRUE(sidecarNotes.wait([&] { return sidecarNotes.fromPeers.size() == 1; }));
-    sidecar->sendTo(sidecarNotes.peer(), request(2));
-    ASSERT_TRUE(entryNotes.wait([&] { return entryNotes.targetsLost == 1; }));
-    ASSERT_TRUE(entryNotes.wait([&] { return entryNotes.targetsUp == 2; }));
-    entry->sendTo("sidecar", request(3));
-    EXPECT_TRUE(sidecarNotes.wait([&] { return sidecarNotes.fromPeers.size() == 2; }));
+    EventRecorder entryEvents;
+    EventRecorder sidecarEvents;
+    const auto entry = makeMessenger(entryEvents, "entry", 0, LifeSign::KeepAlive);
+    const auto sidecar = makeMessenger(sidecarEvents, "sidecar", 0, LifeSign::KeepAlive);
+    entry->connectTo("sidecar", addressOf(*sidecar));
+    entry->sendTo("sidecar", makeCallRequest(1));
+    ASSERT_TRUE(sidecarEvents.wait([&] { return sidecarEvents.fromPeers.size() == 1; }));
+    sidecar->sendTo(sidecarEvents.peer(), makeCallRequest(2));
+    ASSERT_TRUE(entryEvents.wait([&] { return entryEvents.targetsLost == 1; }));
+    ASSERT_TRUE(entryEvents.wait([&] { return entryEvents.targetsUp == 2; }));
+    entry->sendTo("sidecar", makeCallRequest(3));
+    EXPECT_TRUE(sidecarEvents.wait([&] { return sidecarEvents.fromPeers.size() == 2; }));
 }
 
-// Guards against connections that are made anew all the time to a target that has nothing to say yet.
-TEST(MessengerTest, ATargetThatNeverTalkedIsKept)
+// Guards against repeated reconnects to a target that has not sent any message yet.
+TEST(MessengerTest, TargetWithoutMessagesIsKept)
 {
-    Notes entryNotes;
-    Notes sidecarNotes;
-    const auto entry = make(entryNotes, "entry", 0, LifeSign::KeepAlive);
-    const auto sidecar = make(sidecarNotes, "sidecar", 0, LifeSign::KeepAlive);
-    entry->connectTo("sidecar", address(*sidecar));
-    ASSERT_TRUE(entryNotes.wait([&] { return entryNotes.targetsUp == 1; }));
-    EXPECT_FALSE(entryNotes.wait([&] { return entryNotes.targetsLost == 1; }, Milliseconds(1500)));
+    EventRecorder entryEvents;
+    EventRecorder sidecarEvents;
+    const auto entry = makeMessenger(entryEvents, "entry", 0, LifeSign::KeepAlive);
+    const auto sidecar = makeMessenger(sidecarEvents, "sidecar", 0, LifeSign::KeepAlive);
+    entry->connectTo("sidecar", addressOf(*sidecar));
+    ASSERT_TRUE(entryEvents.wait([&] { return entryEvents.targetsUp == 1; }));
+    EXPECT_FALSE(entryEvents.wait([&] { return entryEvents.targetsLost == 1; }, Milliseconds(1500)));
 }
 
-// The other process dies. The one that connected learns it at once; calls for the dead one fail as certainly not
-// sent, so that they may go elsewhere; nothing waits for it to come back.
-TEST(MessengerTest, LossOfATargetIsToldAndCallsForItFail)
+// Guards against calls that wait for a terminated process: its loss is reported at once, and calls for it fail as
+// certainly not sent.
+TEST(MessengerTest, LostTargetIsReportedAndItsCallsFail)
 {
-    Notes entryNotes;
-    Notes sidecarNotes;
-    const auto entry = make(entryNotes, "entry");
-    auto sidecar = make(sidecarNotes, "sidecar");
+    EventRecorder entryEvents;
+    EventRecorder sidecarEvents;
+    const auto entry = makeMessenger(entryEvents, "entry");
+    auto sidecar = makeMessenger(sidecarEvents, "sidecar");
     const auto port = sidecar->port();
-    entry->connectTo("sidecar", address(*sidecar));
-    ASSERT_TRUE(entryNotes.wait([&] { return entryNotes.targetsUp == 1; }));
+    entry->connectTo("sidecar", addressOf(*sidecar));
+    ASSERT_TRUE(entryEvents.wait([&] { return entryEvents.targetsUp == 1; }));
     sidecar.reset();
-    ASSERT_TRUE(entryNotes.wait([&] { return entryNotes.targetsLost == 1; }));
-    entry->sendTo("sidecar", request(9));
-    ASSERT_TRUE(entryNotes.wait([&] { return entryNotes.failed.size() == 1; }));
-    EXPECT_EQ(entryNotes.failed[0], 9U);
-    Notes newNotes;
-    const auto again = make(newNotes, "sidecar", port);
-    ASSERT_TRUE(entryNotes.wait([&] { return entryNotes.targetsUp == 2; }));
-    entry->sendTo("sidecar", request(10));
-    ASSERT_TRUE(newNotes.wait([&] { return newNotes.fromPeers.size() == 1; }));
+    ASSERT_TRUE(entryEvents.wait([&] { return entryEvents.targetsLost == 1; }));
+    entry->sendTo("sidecar", makeCallRequest(9));
+    ASSERT_TRUE(entryEvents.wait([&] { return entryEvents.failedCalls.size() == 1; }));
+    EXPECT_EQ(entryEvents.failedCalls[0], 9U);
+    EventRecorder newEvents;
+    const auto restarted = makeMessenger(newEvents, "sidecar", port);
+    ASSERT_TRUE(entryEvents.wait([&] { return entryEvents.targetsUp == 2; }));
+    entry->sendTo("sidecar", makeCallRequest(10));
+    ASSERT_TRUE(newEvents.wait([&] { return newEvents.fromPeers.size() == 1; }));
 }
 
-// An engine is replaced by another one at its address, and the sidecar there never hears of the calls that wait for it:
-// no adapter is loaded for this entry again. The entry ended its connection to the sidecar and opened a new one at
-// once, under the same name at the other end, before the old one was gone: the new one never counts as up.
-TEST(MessengerTest, ATargetThatIsConnectedToAnewAtOnceComesUp)
+// Guards against a reconnect that reuses the identity of the old connection while that still exists at the other end:
+// the new connection would never come up.
+TEST(MessengerTest, ImmediateReconnectComesUp)
 {
-    Notes entryNotes;
-    Notes sidecarNotes;
-    const auto entry = make(entryNotes, "entry");
-    const auto sidecar = make(sidecarNotes, "sidecar");
+    EventRecorder entryEvents;
+    EventRecorder sidecarEvents;
+    const auto entry = makeMessenger(entryEvents, "entry");
+    const auto sidecar = makeMessenger(sidecarEvents, "sidecar");
     constexpr int rounds = 500;
     for (int i = 1; i <= rounds; ++i) {
-        entry->connectTo("sidecar", address(*sidecar));
-        entry->sendTo("sidecar", request(static_cast<std::uint64_t>(i)));
-        const auto heard = static_cast<std::size_t>(i);
-        ASSERT_TRUE(entryNotes.wait([&] { return entryNotes.targetsUp == i; })) << "round " << i;
-        ASSERT_TRUE(sidecarNotes.wait([&] { return sidecarNotes.fromPeers.size() == heard; })) << "round " << i;
+        entry->connectTo("sidecar", addressOf(*sidecar));
+        entry->sendTo("sidecar", makeCallRequest(static_cast<std::uint64_t>(i)));
+        const auto receivedCount = static_cast<std::size_t>(i);
+        ASSERT_TRUE(entryEvents.wait([&] { return entryEvents.targetsUp == i; })) << "round " << i;
+        ASSERT_TRUE(sidecarEvents.wait([&] { return sidecarEvents.fromPeers.size() == receivedCount; }))
+            << "round " << i;
         entry->disconnectFrom("sidecar");
     }
 }
 
-TEST(MessengerTest, CallForAProcessThatNeverCameUpFails)
+TEST(MessengerTest, CallToUnreachableProcessFails)
 {
-    Notes notes;
-    const auto entry = make(notes, "entry");
+    EventRecorder events;
+    const auto entry = makeMessenger(events, "entry");
     entry->connectTo("sidecar", "127.0.0.1:1");
-    entry->sendTo("sidecar", request(3));
-    entry->sendTo("nobody", request(4));
-    ASSERT_TRUE(notes.wait([&] { return notes.failed.size() == 2; }));
+    entry->sendTo("sidecar", makeCallRequest(3));
+    entry->sendTo("nobody", makeCallRequest(4));
+    ASSERT_TRUE(events.wait([&] { return events.failedCalls.size() == 2; }));
 }
 
-TEST(MessengerTest, LossOfAPeerIsToldAtTheNextSend)
+TEST(MessengerTest, LostPeerIsReportedAtNextSend)
 {
-    Notes entryNotes;
-    Notes sidecarNotes;
-    auto entry = make(entryNotes, "entry");
-    const auto sidecar = make(sidecarNotes, "sidecar");
-    entry->connectTo("sidecar", address(*sidecar));
-    entry->sendTo("sidecar", request(1));
-    ASSERT_TRUE(sidecarNotes.wait([&] { return sidecarNotes.fromPeers.size() == 1; }));
+    EventRecorder entryEvents;
+    EventRecorder sidecarEvents;
+    auto entry = makeMessenger(entryEvents, "entry");
+    const auto sidecar = makeMessenger(sidecarEvents, "sidecar");
+    entry->connectTo("sidecar", addressOf(*sidecar));
+    entry->sendTo("sidecar", makeCallRequest(1));
+    ASSERT_TRUE(sidecarEvents.wait([&] { return sidecarEvents.fromPeers.size() == 1; }));
     entry.reset();
-    const auto end = std::chrono::steady_clock::now() + bound;
-    while (sidecar->stats().dropped.of(MessageDrop::PeerGone) == 0 && std::chrono::steady_clock::now() < end) {
-        sidecar->sendTo(sidecarNotes.peer(), request(2));
+    const auto deadline = std::chrono::steady_clock::now() + maxWait;
+    while (sidecar->stats().dropped.of(MessageDrop::PeerGone) == 0 && std::chrono::steady_clock::now() < deadline) {
+        sidecar->sendTo(sidecarEvents.peer(), makeCallRequest(2));
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
-    EXPECT_TRUE(sidecarNotes.wait([&] { return sidecarNotes.peersLost == 1; }));
+    EXPECT_TRUE(sidecarEvents.wait([&] { return sidecarEvents.peersLost == 1; }));
 }
 
-TEST(MessengerTest, BadMessagesAreDroppedAndCounted)
+TEST(MessengerTest, InvalidMessagesAreDroppedAndCounted)
 {
-    Notes notes;
-    const auto sidecar = make(notes, "sidecar");
+    EventRecorder events;
+    const auto sidecar = makeMessenger(events, "sidecar");
     zmq::context_t context;
     zmq::socket_t dealer(context, zmq::socket_type::dealer);
-    dealer.connect("tcp://" + address(*sidecar));
+    dealer.connect("tcp://" + addressOf(*sidecar));
     const auto send = [&](const std::string &bytes) { dealer.send(zmq::buffer(bytes)); };
-    wire::Envelope wrong = request(1);
-    wrong.set_protocol(wireProtocol + 1);
-    wire::Envelope empty;
-    empty.set_protocol(wireProtocol);
-    wire::Envelope good = request(5);
-    good.set_protocol(wireProtocol);
+    wire::Envelope wrongProtocol = makeCallRequest(1);
+    wrongProtocol.set_protocol(wireProtocol + 1);
+    wire::Envelope withoutBody;
+    withoutBody.set_protocol(wireProtocol);
+    wire::Envelope valid = makeCallRequest(5);
+    valid.set_protocol(wireProtocol);
     send("\xff\xff\xff no envelope");
-    send(wrong.SerializeAsString());
-    send(empty.SerializeAsString());
+    send(wrongProtocol.SerializeAsString());
+    send(withoutBody.SerializeAsString());
     dealer.send(zmq::buffer(std::string("two")), zmq::send_flags::sndmore);
     send("parts");
-    send(good.SerializeAsString());
-    ASSERT_TRUE(notes.wait([&] { return notes.fromPeers.size() == 1; }));
-    EXPECT_EQ(notes.fromPeers[0].call_request().id().call(), 5U);
+    send(valid.SerializeAsString());
+    ASSERT_TRUE(events.wait([&] { return events.fromPeers.size() == 1; }));
+    EXPECT_EQ(events.fromPeers[0].call_request().id().call(), 5U);
     const auto dropped = sidecar->stats().dropped;
     EXPECT_EQ(dropped.of(MessageDrop::NotParsed), 2U);
     EXPECT_EQ(dropped.of(MessageDrop::WrongProtocol), 1U);
     EXPECT_EQ(dropped.of(MessageDrop::NoBody), 1U);
 }
 
-TEST(MessengerTest, TakenPortIsTyped)
+TEST(MessengerTest, PortInUseIsReported)
 {
-    Notes notes;
-    const auto first = make(notes, "first");
+    EventRecorder events;
+    const auto first = makeMessenger(events, "first");
     MessengerInit init;
     init.address = "127.0.0.1";
     init.port = first->port();
