--- a/include/anvilscale/endpoint.h
+++ b/include/anvilscale/endpoint.h
@@ -1,6 +1,5 @@
-// Endpoint library: the only part that talks to a sidecar's endpoint. Calls are run and their bytes sent to all who
-// listen; orders, lists and reports of a model engine go through the same thread. One file for each kind of endpoint
-// (src/endpoint/model_engine, plain_service) meets the concept EndpointProtocol.
+// Endpoint library: HTTP client for a sidecar's endpoint. Runs calls, streams answers to their listeners and sends
+// adapter orders; each kind of endpoint (model_engine, plain_service) implements EndpointProtocol.
 #pragma once
 
 #include "anvilscale/net.h"
@@ -13,19 +12,19 @@
 
 namespace anvilscale {
 
-/// How a kind of endpoint is spoken to. No I/O.
+/// Request encoding and response parsing for one kind of endpoint. Performs no I/O.
 template<class T>
 concept EndpointProtocol = requires(const T protocol, const wire::CallRequest &call, const SendOrder &order,
                                     std::uint32_t status, const std::string &body, const std::string &metrics)
 {
     {
-        protocol.call(call)
+        protocol.callRequest(call)
         } -> std::same_as<EndpointRequest>;
     {
-        protocol.order(order)
+        protocol.orderRequest(order)
         } -> std::same_as<EndpointRequest>;
     {
-        protocol.orderOutcome(order, status, body)
+        protocol.parseOrderOutcome(order, status, body)
         } -> std::same_as<OrderOutcome>;
     {
         protocol.listRequest()
@@ -34,10 +33,10 @@
         protocol.reportRequest()
         } -> std::same_as<EndpointRequest>;
     {
-        protocol.readList(body, metrics)
+        protocol.parseList(body, metrics)
         } -> std::same_as<std::optional<EngineList>>;
     {
-        protocol.readReport(metrics)
+        protocol.parseReport(metrics)
         } -> std::same_as<std::optional<EngineReport>>;
     {
         protocol.generatedTokens(body)
@@ -46,16 +45,16 @@
 
 struct EndpointInit
 {
-    std::string address; ///< IP number on loopback
+    std::string address; ///< loopback IP address
     std::uint16_t port = 0;
     EndpointKind kind = EndpointKind::Engine;
     std::uint32_t batchLimit = 16;
     Duration reportInterval = Milliseconds(500);
     Duration connectTimeout = Seconds(2);
-    Duration cancelGrace = Milliseconds(300); ///< time for the endpoint to confirm a cancel by closing
-    std::size_t windowBytes = 256U << 10; ///< read ahead of the slowest listener
-    std::uint32_t threads = 2; ///< that calls are spread over
-    std::size_t answerBytes = 4U << 20; ///< of one answer kept for late listeners and repeats
+    Duration cancelGrace = Milliseconds(300); ///< how long to wait for the endpoint to confirm a cancel by closing
+    std::size_t windowBytes = 256U << 10; ///< maximum read ahead of the slowest listener
+    std::uint32_t threads = 2; ///< number of threads that calls are distributed over
+    std::size_t answerBytes = 4U << 20; ///< maximum size of an answer kept for late listeners and repeats
 };
 
 struct EndpointStats
@@ -63,7 +62,7 @@
     std::uint64_t requests = 0;
     std::uint64_t connections = 0;
     std::uint64_t connectFailures = 0;
-    std::uint64_t broken = 0; ///< answers that broke off
+    std::uint64_t broken = 0; ///< answers that ended before they were complete
     std::uint64_t cancels = 0;
     std::uint64_t unconfirmedCancels = 0;
     std::uint64_t reportFailures = 0;
@@ -86,7 +85,7 @@
 
 enum class EndpointErrorKind : std::uint8_t {
     BadUrl,
-    NotLoopback, ///< a sidecar talks to the endpoint of its own VM only
+    NotLoopback, ///< a sidecar only connects to the endpoint on its own VM
     Count
 };
 template<>
@@ -95,14 +94,14 @@
     static constexpr std::array<std::string_view, enumCount<EndpointErrorKind>> table{"bad_url", "not_loopback"};
 };
 
-/// Takes "http://IP:PORT" apart.
+/// Parses "http://IP:PORT" into address and port.
 tl::expected<std::pair<std::string, std::uint16_t>, EndpointErrorKind> parseEndpointUrl(std::string_view url);
 
-/// The endpoint, with threads of its own: calls are spread over them, orders and reports belong to the first.
+/// Client of one endpoint with its own threads. Calls are distributed over them; orders and reports use the first.
 class Endpoint
 {
 public:
-    /// All called in the endpoint's threads; they must not block.
+    /// Callbacks, invoked on the endpoint's threads. They must not block.
     struct Handlers
     {
         std::function<void(PeerHandle, const wire::Envelope &)> send;
@@ -118,23 +117,23 @@
     Endpoint(const Endpoint &) = delete;
     Endpoint &operator=(const Endpoint &) = delete;
 
-    // Any thread.
+    // The methods below may be called from any thread.
     void start(StartExecution action);
     void attach(AttachListener action);
-    /// To be called once `ended` has been taken in: no listener is attached to the execution after this.
+    /// Must be called after `ended` has been processed; no listener may be attached to the execution afterwards.
     void release(ExecutionHandle execution);
     void detach(DetachListener action);
     void cancel(CancelExecution action);
     void replay(ReplayAnswer action);
     void order(SendOrder action);
     void credit(PeerHandle peer, const wire::CallCredit &credit);
-    /// The listener gave up. Only what is left of ended executions is dropped here; running ones are ended by cancel.
+    /// Removes the listener from finished executions. Running executions are stopped by cancel().
     void listenerGone(PeerHandle peer, const wire::AttemptId &id);
     void peerLost(PeerHandle peer);
-    /// Begins to read reports.
+    /// Starts polling the endpoint for reports.
     void startReports();
-    /// Calls `idle`, in an endpoint's thread, once every answer has gone out whole to all its listeners. An execution
-    /// that has ended may still have bytes for which its reader has given no credit yet.
+    /// Calls `idle` on an endpoint thread once every answer has been sent completely to all its listeners. A finished
+    /// execution may still hold bytes for which its reader has granted no credit.
     void whenIdle(std::function<void()> idle);
     void shutdown();
     EndpointStats stats() const;
--- a/src/endpoint/answer_buffer.cpp
+++ b/src/endpoint/answer_buffer.cpp
@@ -1,4 +1,4 @@
-// Distribution of one answer to its listeners.
+// Streams one answer to its listeners.
 #include "answer_buffer.h"
 
 #include <algorithm>
@@ -7,24 +7,24 @@
 
 namespace {
 
-constexpr std::size_t frameBytes = 64U << 10;
+constexpr std::size_t maxFrameBytes = 64U << 10;
 
-bool sameAttempt(const wire::AttemptId &a, const wire::AttemptId &b)
+bool isSameAttempt(const wire::AttemptId &a, const wire::AttemptId &b)
 {
     return a.entry_incarnation() == b.entry_incarnation() && a.call() == b.call() && a.attempt() == b.attempt();
 }
 
 } // namespace
 
-AnswerBuffer::AnswerBuffer(std::size_t keepBytes, std::size_t windowBytes)
-    : keepBytes_(keepBytes)
+AnswerBuffer::AnswerBuffer(std::size_t maxKeptBytes, std::size_t windowBytes)
+    : maxKeptBytes_(maxKeptBytes)
     , windowBytes_(windowBytes)
 {
 }
 
 void AnswerBuffer::setHead(std::uint32_t status, HttpHeaders headers)
 {
-    headKnown_ = true;
+    hasHead_ = true;
     status_ = status;
     headers_ = std::move(headers);
 }
@@ -41,25 +41,25 @@
 
 void AnswerBuffer::addListener(AnswerListener listener)
 {
-    auto &place = places_.emplace_back();
-    place.listener = std::move(listener);
+    auto &cursor = cursors_.emplace_back();
+    cursor.listener = std::move(listener);
 }
 
 bool AnswerBuffer::removeListener(const wire::AttemptId &id)
 {
-    return std::erase_if(places_, [&](const Place &place) { return sameAttempt(place.listener.id, id); }) != 0;
+    return std::erase_if(cursors_, [&](const Cursor &cursor) { return isSameAttempt(cursor.listener.id, id); }) != 0;
 }
 
 void AnswerBuffer::removePeer(PeerHandle peer)
 {
-    std::erase_if(places_, [&](const Place &place) { return place.listener.to == peer; });
+    std::erase_if(cursors_, [&](const Cursor &cursor) { return cursor.listener.peer == peer; });
 }
 
 bool AnswerBuffer::addCredit(PeerHandle peer, const wire::AttemptId &id, std::uint64_t bytes)
 {
-    for (auto &place : places_) {
-        if (place.listener.to == peer && sameAttempt(place.listener.id, id)) {
-            place.listener.credit += bytes;
+    for (auto &cursor : cursors_) {
+        if (cursor.listener.peer == peer && isSameAttempt(cursor.listener.id, id)) {
+            cursor.listener.credit += bytes;
             return true;
         }
     }
@@ -68,46 +68,47 @@
 
 void AnswerBuffer::pump(const Send &send)
 {
-    for (auto &place : places_) {
-        pumpOne(place, send);
+    for (auto &cursor : cursors_) {
+        pumpListener(cursor, send);
     }
-    std::erase_if(places_, [](const Place &place) { return place.ended; });
+    std::erase_if(cursors_, [](const Cursor &cursor) { return cursor.hasEnded; });
     trim();
 }
 
-void AnswerBuffer::pumpOne(Place &place, const Send &send)
+void AnswerBuffer::pumpListener(Cursor &cursor, const Send &send)
 {
-    if (headKnown_ && place.offset < base_) {
-        // It came after the first bytes had been dropped: it cannot have the whole answer and is given none of it.
+    if (hasHead_ && cursor.sentBytes < firstOffset_) {
+        // The first bytes were already dropped: fail the listener instead of sending a truncated answer.
         wire::Envelope message;
         auto &end = *message.mutable_call_end();
-        *end.mutable_id() = place.listener.id;
+        *end.mutable_id() = cursor.listener.id;
         end.set_outcome(static_cast<std::uint32_t>(CallOutcome::Unknown));
         end.set_failure(static_cast<std::uint32_t>(FailureReason::AnswerIncomplete));
-        send(place.listener.to, message);
-        place.ended = true;
+        send(cursor.listener.peer, message);
+        cursor.hasEnded = true;
         return;
     }
-    if (headKnown_ && place.frames == 0) {
-        const auto first = std::string_view(bytes_).substr(0, std::min<std::size_t>(place.listener.credit, frameBytes));
-        sendFrame(place, first, send);
+    if (hasHead_ && cursor.sentFrames == 0) {
+        const auto first =
+            std::string_view(bytes_).substr(0, std::min<std::size_t>(cursor.listener.credit, maxFrameBytes));
+        sendFrame(cursor, first, send);
     }
-    while (headKnown_ && place.listener.credit != 0 && place.offset - base_ < bytes_.size()) {
-        const auto rest = std::string_view(bytes_).substr(place.offset - base_);
-        sendFrame(place, rest.substr(0, std::min<std::size_t>(place.listener.credit, frameBytes)), send);
+    while (hasHead_ && cursor.listener.credit != 0 && cursor.sentBytes - firstOffset_ < bytes_.size()) {
+        const auto rest = std::string_view(bytes_).substr(cursor.sentBytes - firstOffset_);
+        sendFrame(cursor, rest.substr(0, std::min<std::size_t>(cursor.listener.credit, maxFrameBytes)), send);
     }
-    if (outcome_ && place.offset - base_ == bytes_.size()) {
-        sendEnd(place, send);
+    if (outcome_ && cursor.sentBytes - firstOffset_ == bytes_.size()) {
+        sendEnd(cursor, send);
     }
 }
 
-void AnswerBuffer::sendFrame(Place &place, std::string_view data, const Send &send)
+void AnswerBuffer::sendFrame(Cursor &cursor, std::string_view data, const Send &send)
 {
     wire::Envelope message;
     auto &frame = *message.mutable_call_frame();
-    *frame.mutable_id() = place.listener.id;
-    frame.set_sequence(place.frames);
-    if (place.frames == 0) {
+    *frame.mutable_id() = cursor.listener.id;
+    frame.set_sequence(cursor.sentFrames);
+    if (cursor.sentFrames == 0) {
         frame.set_status(status_);
         for (const auto &[name, value] : headers_) {
             auto &header = *frame.add_headers();
@@ -116,83 +117,83 @@
         }
     }
     frame.set_data(data.data(), data.size());
-    ++place.frames;
-    place.offset += data.size();
-    place.listener.credit -= data.size();
-    place.digest.add(data);
-    send(place.listener.to, message);
+    ++cursor.sentFrames;
+    cursor.sentBytes += data.size();
+    cursor.listener.credit -= data.size();
+    cursor.digest.add(data);
+    send(cursor.listener.peer, message);
 }
 
-void AnswerBuffer::sendEnd(Place &place, const Send &send)
+void AnswerBuffer::sendEnd(Cursor &cursor, const Send &send)
 {
     wire::Envelope message;
     auto &end = *message.mutable_call_end();
-    *end.mutable_id() = place.listener.id;
-    end.set_frames(place.frames);
-    end.set_digest(place.digest.value());
+    *end.mutable_id() = cursor.listener.id;
+    end.set_frames(cursor.sentFrames);
+    end.set_digest(cursor.digest.value());
     end.set_outcome(static_cast<std::uint32_t>(outcome_->outcome));
     end.set_failure(static_cast<std::uint32_t>(outcome_->failure));
-    end.set_generated_tokens(outcome_->tokens);
-    end.set_stall_us(place.listener.stallUs);
-    end.set_replayed(place.listener.replayed);
-    send(place.listener.to, message);
-    place.ended = true;
+    end.set_generated_tokens(outcome_->generatedTokens);
+    end.set_stall_us(cursor.listener.stallUs);
+    end.set_replayed(cursor.listener.isReplayed);
+    send(cursor.listener.peer, message);
+    cursor.hasEnded = true;
 }
 
-std::uint64_t AnswerBuffer::slowest() const
+std::uint64_t AnswerBuffer::slowestOffset() const
 {
-    const auto end = base_ + bytes_.size();
-    std::uint64_t least = end;
-    for (const auto &place : places_) {
-        least = std::min(least, place.offset);
+    const auto end = firstOffset_ + bytes_.size();
+    std::uint64_t lowest = end;
+    for (const auto &cursor : cursors_) {
+        lowest = std::min(lowest, cursor.sentBytes);
     }
-    return least;
+    return lowest;
 }
 
-// A long answer is no longer kept whole, so that its memory is bounded by the window of its slowest listener.
+// Drops bytes that every listener has received, which bounds the memory of a long answer.
 void AnswerBuffer::trim()
 {
-    if (base_ + bytes_.size() <= keepBytes_ || places_.empty()) {
+    if (firstOffset_ + bytes_.size() <= maxKeptBytes_ || cursors_.empty()) {
         return;
     }
-    const auto passed = slowest() - base_;
-    if (passed > 0) {
-        bytes_.erase(0, passed);
-        base_ += passed;
+    const auto droppable = slowestOffset() - firstOffset_;
+    if (droppable > 0) {
+        bytes_.erase(0, droppable);
+        firstOffset_ += droppable;
     }
 }
 
-bool AnswerBuffer::full() const
+bool AnswerBuffer::isFull() const
 {
-    const auto end = base_ + bytes_.size();
-    const bool unread = places_.empty() && bytes_.size() > keepBytes_;
-    return unread || (!places_.empty() && end - slowest() > windowBytes_);
+    const auto end = firstOffset_ + bytes_.size();
+    const bool isUnread = cursors_.empty() && bytes_.size() > maxKeptBytes_;
+    return isUnread || (!cursors_.empty() && end - slowestOffset() > windowBytes_);
 }
 
-bool AnswerBuffer::done() const
+bool AnswerBuffer::isDelivered() const
 {
-    return outcome_.has_value() && places_.empty();
+    return outcome_.has_value() && cursors_.empty();
 }
 
-bool AnswerBuffer::ended() const
+bool AnswerBuffer::isFinished() const
 {
     return outcome_.has_value();
 }
 
-std::size_t AnswerBuffer::listeners() const
+std::size_t AnswerBuffer::listenerCount() const
 {
-    return places_.size();
+    return cursors_.size();
 }
 
-std::optional<std::string> AnswerBuffer::whole() const
+std::optional<std::string> AnswerBuffer::completeBody() const
 {
-    if (base_ != 0) {
+    if (firstOffset_ != 0) {
         return std::nullopt;
     }
     return bytes_;
 }
 
-const std::string &AnswerBuffer::tail() const
+const std::string &AnswerBuffer::bufferedBody() const
 {
     return bytes_;
 }
--- a/src/endpoint/answer_buffer.h
+++ b/src/endpoint/answer_buffer.h
@@ -1,4 +1,4 @@
-// The answer of one execution and those who listen to it. No I/O: frames and end frames come out through a callback.
+// Answer of one execution and its listeners. Performs no I/O: frames are passed to a callback.
 #pragma once
 
 #include "anvilscale/endpoint.h"
@@ -8,32 +8,32 @@
 
 namespace anvilscale {
 
-/// How the answer ended, as it is told in the end frame.
+/// Result of an answer, as reported in the end frame.
 struct AnswerOutcome
 {
     CallOutcome outcome = CallOutcome::Unknown;
     FailureReason failure = FailureReason::None;
-    std::uint32_t tokens = 0;
+    std::uint32_t generatedTokens = 0;
 };
 
 struct AnswerListener
 {
-    PeerHandle to;
+    PeerHandle peer;
     wire::AttemptId id;
-    std::uint64_t credit = 0; ///< bytes it may still be sent
+    std::uint64_t credit = 0; ///< bytes that may still be sent
     std::uint64_t stallUs = 0;
-    bool replayed = false;
+    bool isReplayed = false;
 };
 
-/// Keeps the answer's bytes from the first one on, up to a limit, so that a repeat can listen to the whole of it.
-/// Each listener has its own place, credit, frame numbers and digest. Invariant: a listener is sent every byte in
-/// order or an end frame that says the answer failed.
+/// Buffers an answer up to a size limit so that a repeated call can receive all of it. Each listener has its own
+/// offset, credit, frame numbers and digest. Invariant: a listener receives every byte in order, or an end frame that
+/// reports a failure.
 class AnswerBuffer
 {
 public:
     using Send = std::function<void(PeerHandle, const wire::Envelope &)>;
 
-    AnswerBuffer(std::size_t keepBytes, std::size_t windowBytes);
+    AnswerBuffer(std::size_t maxKeptBytes, std::size_t windowBytes);
 
     void setHead(std::uint32_t status, HttpHeaders headers);
     void append(std::string_view data);
@@ -42,44 +42,44 @@
     bool removeListener(const wire::AttemptId &id);
     void removePeer(PeerHandle peer);
     bool addCredit(PeerHandle peer, const wire::AttemptId &id, std::uint64_t bytes);
-    /// Sends what listeners may have now.
+    /// Sends each listener the bytes that its credit allows.
     void pump(const Send &send);
-    /// Too much is buffered ahead of the slowest listener: read no more from the endpoint for now.
-    bool full() const;
-    /// The answer has ended and every listener has its end frame.
-    bool done() const;
-    bool ended() const;
-    std::size_t listeners() const;
-    /// The whole answer, if it was not too long to keep.
-    std::optional<std::string> whole() const;
-    const std::string &tail() const;
+    /// True if reading from the endpoint has to pause until the slowest listener catches up.
+    bool isFull() const;
+    /// True if the answer is finished and every listener has received its end frame.
+    bool isDelivered() const;
+    bool isFinished() const;
+    std::size_t listenerCount() const;
+    /// The complete answer, or nothing if it exceeded the size limit.
+    std::optional<std::string> completeBody() const;
+    const std::string &bufferedBody() const;
     std::uint32_t status() const;
     const HttpHeaders &headers() const;
 
 private:
-    struct Place
+    struct Cursor
     {
         AnswerListener listener;
-        std::uint64_t offset = 0; // bytes of the answer sent to it
-        std::uint32_t frames = 0;
+        std::uint64_t sentBytes = 0; // bytes of the answer sent so far
+        std::uint32_t sentFrames = 0;
         Digest digest;
-        bool ended = false;
+        bool hasEnded = false;
     };
-    void pumpOne(Place &place, const Send &send);
-    void sendFrame(Place &place, std::string_view data, const Send &send);
-    void sendEnd(Place &place, const Send &send);
+    void pumpListener(Cursor &cursor, const Send &send);
+    void sendFrame(Cursor &cursor, std::string_view data, const Send &send);
+    void sendEnd(Cursor &cursor, const Send &send);
     void trim();
-    std::uint64_t slowest() const;
+    std::uint64_t slowestOffset() const;
 
-    std::size_t keepBytes_;
+    std::size_t maxKeptBytes_;
     std::size_t windowBytes_;
-    bool headKnown_ = false;
+    bool hasHead_ = false;
     std::uint32_t status_ = 0;
     HttpHeaders headers_;
-    std::string bytes_; // of the answer, from offset base_ on
-    std::uint64_t base_ = 0; // more than 0: the answer was too long to keep
+    std::string bytes_; // answer bytes from offset firstOffset_ on
+    std::uint64_t firstOffset_ = 0; // above 0 once the answer exceeded the size limit
     std::optional<AnswerOutcome> outcome_;
-    std::list<Place> places_;
+    std::list<Cursor> cursors_;
 };
 
 } // namespace anvilscale
--- a/src/endpoint/endpoint.cpp
+++ b/src/endpoint/endpoint.cpp
@@ -1,4 +1,4 @@
-// The endpoint's public face: hands everything to the loop's thread, and picks the protocol by kind.
+// Endpoint: forwards requests to its worker threads and selects the protocol by kind of endpoint.
 #include "endpoint_runner.h"
 #include "model_engine.h"
 #include "plain_service.h"
@@ -30,57 +30,57 @@
     }
 }
 
-// One thread with its share of the calls.
-struct Lane
+// One thread and the calls assigned to it.
+struct Worker
 {
     using Runner = std::variant<EndpointRunner<ModelEngine>, EndpointRunner<PlainService>>;
 
-    explicit Lane(std::size_t number)
+    explicit Worker(std::size_t number)
         : loop("endpoint-" + std::to_string(number))
     {
     }
-    template<class Use>
-    void post(Use use)
+    template<class Task>
+    void post(Task task)
     {
-        loop.post([this, use = std::move(use)]() mutable {
+        loop.post([this, task = std::move(task)]() mutable {
             if (runner) {
-                std::visit([&](auto &each) { use(each); }, *runner);
+                std::visit([&](auto &typedRunner) { task(typedRunner); }, *runner);
             }
         });
     }
 
     EventLoop loop;
-    std::unique_ptr<Runner> runner; // made, used and destroyed in the loop's thread
+    std::unique_ptr<Runner> runner; // created, used and destroyed on the loop's thread
 };
 
 struct Endpoint::Impl
 {
     EndpointInit init;
     Handlers handlers;
-    std::vector<std::unique_ptr<Lane>> lanes;
+    std::vector<std::unique_ptr<Worker>> workers;
 
-    void addLane()
+    void addWorker()
     {
-        auto &lane = *lanes.emplace_back(std::make_unique<Lane>(lanes.size()));
-        lane.loop.post([this, &lane] {
+        auto &worker = *workers.emplace_back(std::make_unique<Worker>(workers.size()));
+        worker.loop.post([this, &worker] {
             if (init.kind == EndpointKind::Engine) {
-                lane.runner = std::make_unique<Lane::Runner>(std::in_place_index<0>, lane.loop, init, handlers,
-                                                             ModelEngine(init.batchLimit));
+                worker.runner = std::make_unique<Worker::Runner>(std::in_place_index<0>, worker.loop, init, handlers,
+                                                                 ModelEngine(init.batchLimit));
             } else {
-                lane.runner =
-                    std::make_unique<Lane::Runner>(std::in_place_index<1>, lane.loop, init, handlers, PlainService());
+                worker.runner = std::make_unique<Worker::Runner>(std::in_place_index<1>, worker.loop, init, handlers,
+                                                                 PlainService());
             }
         });
     }
-    Lane &laneOf(ExecutionHandle execution)
+    Worker &workerOf(ExecutionHandle execution)
     {
-        return *lanes[execution.value % lanes.size()];
+        return *workers[execution.value % workers.size()];
     }
-    template<class Use>
-    void postAll(const Use &use)
+    template<class Task>
+    void postToAll(const Task &task)
     {
-        for (auto &lane : lanes) {
-            lane->post(use);
+        for (auto &worker : workers) {
+            worker->post(task);
         }
     }
 };
@@ -91,7 +91,7 @@
     impl_->init = std::move(init);
     impl_->handlers = std::move(handlers);
     for (std::uint32_t i = 0; i < std::max<std::uint32_t>(1, impl_->init.threads); ++i) {
-        impl_->addLane();
+        impl_->addWorker();
     }
 }
 
@@ -102,68 +102,68 @@
 
 void Endpoint::start(StartExecution action)
 {
-    auto &lane = impl_->laneOf(action.execution);
-    lane.post([action = std::move(action)](auto &runner) { runner.start(action); });
+    auto &worker = impl_->workerOf(action.execution);
+    worker.post([action = std::move(action)](auto &runner) { runner.start(action); });
 }
 
 void Endpoint::attach(AttachListener action)
 {
-    auto &lane = impl_->laneOf(action.execution);
-    lane.post([action = std::move(action)](auto &runner) { runner.attach(action); });
+    auto &worker = impl_->workerOf(action.execution);
+    worker.post([action = std::move(action)](auto &runner) { runner.attach(action); });
 }
 
 void Endpoint::release(ExecutionHandle execution)
 {
-    impl_->laneOf(execution).post([execution](auto &runner) { runner.release(execution); });
+    impl_->workerOf(execution).post([execution](auto &runner) { runner.release(execution); });
 }
 
 void Endpoint::detach(DetachListener action)
 {
-    auto &lane = impl_->laneOf(action.execution);
-    lane.post([action = std::move(action)](auto &runner) { runner.detach(action); });
+    auto &worker = impl_->workerOf(action.execution);
+    worker.post([action = std::move(action)](auto &runner) { runner.detach(action); });
 }
 
 void Endpoint::cancel(CancelExecution action)
 {
-    impl_->laneOf(action.execution).post([action](auto &runner) { runner.cancel(action); });
+    impl_->workerOf(action.execution).post([action](auto &runner) { runner.cancel(action); });
 }
 
 void Endpoint::replay(ReplayAnswer action)
 {
-    impl_->lanes[0]->post([action = std::move(action)](auto &runner) { runner.replay(action); });
+    impl_->workers[0]->post([action = std::move(action)](auto &runner) { runner.replay(action); });
 }
 
 void Endpoint::order(SendOrder action)
 {
-    impl_->lanes[0]->post([action = std::move(action)](auto &runner) { runner.order(action); });
+    impl_->workers[0]->post([action = std::move(action)](auto &runner) { runner.order(action); });
 }
 
 void Endpoint::credit(PeerHandle peer, const wire::CallCredit &credit)
 {
-    impl_->postAll([peer, credit](auto &runner) { runner.credit(peer, credit); });
+    impl_->postToAll([peer, credit](auto &runner) { runner.credit(peer, credit); });
 }
 
 void Endpoint::listenerGone(PeerHandle peer, const wire::AttemptId &id)
 {
-    impl_->postAll([peer, id](auto &runner) { runner.listenerGone(peer, id); });
+    impl_->postToAll([peer, id](auto &runner) { runner.listenerGone(peer, id); });
 }
 
 void Endpoint::peerLost(PeerHandle peer)
 {
-    impl_->postAll([peer](auto &runner) { runner.peerLost(peer); });
+    impl_->postToAll([peer](auto &runner) { runner.peerLost(peer); });
 }
 
 void Endpoint::startReports()
 {
-    impl_->lanes[0]->post([](auto &runner) { runner.startReports(); });
+    impl_->workers[0]->post([](auto &runner) { runner.startReports(); });
 }
 
 void Endpoint::whenIdle(std::function<void()> idle)
 {
-    auto busy = std::make_shared<std::atomic<std::size_t>>(impl_->lanes.size());
-    impl_->postAll([busy, idle = std::move(idle)](auto &runner) {
-        runner.whenIdle([busy, idle] {
-            if (--*busy == 0) {
+    auto busyWorkers = std::make_shared<std::atomic<std::size_t>>(impl_->workers.size());
+    impl_->postToAll([busyWorkers, idle = std::move(idle)](auto &runner) {
+        runner.whenIdle([busyWorkers, idle] {
+            if (--*busyWorkers == 0) {
                 idle();
             }
         });
@@ -172,28 +172,28 @@
 
 void Endpoint::shutdown()
 {
-    for (auto &lane : impl_->lanes) {
-        lane->loop.post([lane = lane.get()] { lane->runner.reset(); });
-        lane->loop.stop();
+    for (auto &worker : impl_->workers) {
+        worker->loop.post([worker = worker.get()] { worker->runner.reset(); });
+        worker->loop.stop();
     }
 }
 
 EndpointStats Endpoint::stats() const
 {
-    EndpointStats all;
-    for (auto &lane : impl_->lanes) {
+    EndpointStats total;
+    for (auto &worker : impl_->workers) {
         std::promise<EndpointStats> result;
         auto future = result.get_future();
-        lane->loop.post([&lane, &result] {
-            EndpointStats stats;
-            if (lane->runner) {
-                std::visit([&](const auto &runner) { stats = runner.stats(); }, *lane->runner);
+        worker->loop.post([&worker, &result] {
+            EndpointStats workerStats;
+            if (worker->runner) {
+                std::visit([&](const auto &runner) { workerStats = runner.stats(); }, *worker->runner);
             }
-            result.set_value(stats);
+            result.set_value(workerStats);
         });
-        all.add(future.get());
+        total.add(future.get());
     }
-    return all;
+    return total;
 }
 
 } // namespace anvilscale
--- a/src/endpoint/endpoint_runner.h
+++ b/src/endpoint/endpoint_runner.h
@@ -1,4 +1,4 @@
-// Runs calls, orders and reports of one endpoint in one event loop. The kind of endpoint is a template parameter.
+// Runs calls, orders and reports of one endpoint on one event loop, with the protocol as a template parameter.
 #pragma once
 
 #include "answer_buffer.h"
@@ -29,50 +29,50 @@
     void start(const StartExecution &action)
     {
         const auto key = action.execution;
-        auto &run = addRun(key, init_.answerBytes);
-        run.call = true;
-        run.held = true;
-        run.which = AdapterVersion{action.request.adapter(), action.request.version()};
-        run.answer.addListener(AnswerListener{action.to, action.request.id(), action.request.credit_bytes(),
-                                              action.request.stall_us(), false});
-        ++running_;
+        auto &execution = addExecution(key, init_.answerBytes);
+        execution.isCall = true;
+        execution.isRetained = true;
+        execution.adapter = AdapterVersion{action.request.adapter(), action.request.version()};
+        execution.answer.addListener(AnswerListener{action.to, action.request.id(), action.request.credit_bytes(),
+                                                    action.request.stall_us(), false});
+        ++runningCalls_;
         if (EventLoop::now() >= action.sendBefore) {
-            onEnd(key, ExchangeEnd::Unreachable); // no byte was sent
+            onEnd(key, ExchangeEnd::Unreachable); // nothing was sent
             return;
         }
-        ExchangeHandlers on;
-        on.head = [this, key](const HttpResponseHead &head) { onHead(key, head); };
-        on.data = [this, key](const std::string &data) { onData(key, data); };
-        on.end = [this, key](ExchangeEnd end) { onEnd(key, end); };
-        const auto exchange = client_.start(protocol_.call(action.request), Duration(0), std::move(on));
-        run.exchange = exchange;
+        ExchangeHandlers exchangeHandlers;
+        exchangeHandlers.head = [this, key](const HttpResponseHead &head) { onHead(key, head); };
+        exchangeHandlers.data = [this, key](const std::string &data) { onData(key, data); };
+        exchangeHandlers.end = [this, key](ExchangeEnd end) { onEnd(key, end); };
+        const auto exchange =
+            client_.start(protocol_.callRequest(action.request), Duration(0), std::move(exchangeHandlers));
+        execution.exchange = exchange;
     }
 
     void attach(const AttachListener &action)
     {
-        const auto found = runs_.find(action.execution);
-        if (found == runs_.end()) {
-            sendLost(action.to, action.id);
+        const auto found = executions_.find(action.execution);
+        if (found == executions_.end()) {
+            sendAnswerLost(action.to, action.id);
             return;
         }
         found->second.answer.addListener(AnswerListener{action.to, action.id, action.creditBytes, 0, false});
         pump(action.execution);
     }
 
-    /// The end of the execution is known to whoever attaches listeners: no further one will come. Until then the
-    /// answer of an ended execution is kept. Without that, a repeat which was attached while the end was on its way
-    /// found nothing here, and its caller was told "outcome unknown" of a call that had been answered.
+    /// Ends the retention of a finished answer; no listener is attached afterwards. Keeping the answer until then
+    /// prevents a repeat attached concurrently with the end from failing with an unknown outcome.
     void release(ExecutionHandle key)
     {
-        if (const auto found = runs_.find(key); found != runs_.end()) {
-            found->second.held = false;
+        if (const auto found = executions_.find(key); found != executions_.end()) {
+            found->second.isRetained = false;
             pump(key);
         }
     }
 
     void detach(const DetachListener &action)
     {
-        if (const auto found = runs_.find(action.execution); found != runs_.end()) {
+        if (const auto found = executions_.find(action.execution); found != executions_.end()) {
             found->second.answer.removeListener(action.id);
             pump(action.execution);
         }
@@ -80,33 +80,33 @@
 
     void cancel(const CancelExecution &action)
     {
-        const auto found = runs_.find(action.execution);
-        if (found == runs_.end() || found->second.answer.ended()) {
+        const auto found = executions_.find(action.execution);
+        if (found == executions_.end() || found->second.answer.isFinished()) {
             return;
         }
         ++stats_.cancels;
-        found->second.cancelled = action.why;
+        found->second.cancelReason = action.why;
         client_.cancel(found->second.exchange);
     }
 
     void replay(const ReplayAnswer &action)
     {
-        // Replays have keys of their own, apart from those of executions.
-        const ExecutionHandle key{++lastReplay_ | replayBit};
+        // Replays use a key range separate from executions.
+        const ExecutionHandle key{++lastReplayKey_ | replayBit};
         const auto &kept = *action.answer;
-        auto &run = addRun(key, kept.body.size());
-        run.answer.setHead(kept.status, kept.headers);
-        run.answer.append(kept.body);
-        run.answer.finish(AnswerOutcome{kept.outcome, kept.failure, 0});
+        auto &execution = addExecution(key, kept.body.size());
+        execution.answer.setHead(kept.status, kept.headers);
+        execution.answer.append(kept.body);
+        execution.answer.finish(AnswerOutcome{kept.outcome, kept.failure, 0});
         const auto credit = std::max<std::uint64_t>(action.creditBytes, init_.windowBytes);
-        run.answer.addListener(AnswerListener{action.to, action.id, credit, 0, true});
+        execution.answer.addListener(AnswerListener{action.to, action.id, credit, 0, true});
         pump(key);
     }
 
     void credit(PeerHandle peer, const wire::CallCredit &credit)
     {
-        for (auto &[key, run] : runs_) {
-            if (run.answer.addCredit(peer, credit.id(), credit.bytes())) {
+        for (auto &[key, execution] : executions_) {
+            if (execution.answer.addCredit(peer, credit.id(), credit.bytes())) {
                 pump(key);
                 return;
             }
@@ -123,11 +123,11 @@
         dropListeners([&](AnswerBuffer &answer) { answer.removePeer(peer); });
     }
 
-    /// Calls `idle` once every answer has gone out whole to all its listeners.
+    /// Calls `idle` once every answer has been sent completely to all its listeners.
     void whenIdle(std::function<void()> idle)
     {
-        idle_ = std::move(idle);
-        tellIdle();
+        onIdle_ = std::move(idle);
+        notifyIfIdle();
     }
 
     void order(const SendOrder &order)
@@ -137,15 +137,15 @@
             return;
         }
         auto reply = std::make_shared<Reply>();
-        fetch(protocol_.order(order), order.timeout, reply, [this, order, reply](ExchangeEnd end) {
+        fetch(protocol_.orderRequest(order), order.timeout, reply, [this, order, reply](ExchangeEnd end) {
             if (end == ExchangeEnd::Unreachable) {
-                handlers_.orderDone(order.order, OrderOutcome::Refused); // no byte was sent
+                handlers_.orderDone(order.order, OrderOutcome::Refused); // nothing was sent
                 handlers_.lost();
                 return;
             }
-            const bool whole = end == ExchangeEnd::Complete;
+            const bool isComplete = end == ExchangeEnd::Complete;
             const auto outcome =
-                whole ? protocol_.orderOutcome(order, reply->status, reply->body) : OrderOutcome::Unknown;
+                isComplete ? protocol_.parseOrderOutcome(order, reply->status, reply->body) : OrderOutcome::Unknown;
             handlers_.orderDone(order.order, outcome);
         });
     }
@@ -153,20 +153,21 @@
     void startReports()
     {
         auto reply = std::make_shared<Reply>();
-        fetch(protocol_.reportRequest(), init_.reportInterval * reportTimeouts, reply, [this, reply](ExchangeEnd end) {
-            const auto report =
-                end == ExchangeEnd::Complete ? protocol_.readReport(reply->body) : std::optional<EngineReport>();
-            if (report) {
-                handlers_.report(*report);
-            } else {
-                ++stats_.reportFailures;
-            }
-            if (end == ExchangeEnd::Unreachable) {
-                handlers_.lost();
-            }
-            reportTimer_ = loop_.timers().subscribe(EventLoop::now() + init_.reportInterval,
-                                                    [this](TimePoint) { startReports(); });
-        });
+        fetch(protocol_.reportRequest(), init_.reportInterval * reportTimeoutIntervals, reply,
+              [this, reply](ExchangeEnd end) {
+                  const auto report =
+                      end == ExchangeEnd::Complete ? protocol_.parseReport(reply->body) : std::optional<EngineReport>();
+                  if (report) {
+                      handlers_.report(*report);
+                  } else {
+                      ++stats_.reportFailures;
+                  }
+                  if (end == ExchangeEnd::Unreachable) {
+                      handlers_.lost();
+                  }
+                  reportTimer_ = loop_.timers().subscribe(EventLoop::now() + init_.reportInterval,
+                                                          [this](TimePoint) { startReports(); });
+              });
     }
 
     EndpointStats stats() const
@@ -176,22 +177,22 @@
         result.requests = counts.requests;
         result.connections = counts.connections;
         result.connectFailures = counts.connectFailures;
-        result.running = running_;
-        for (const auto &[key, run] : runs_) {
-            result.listeners += static_cast<std::uint32_t>(run.answer.listeners());
+        result.running = runningCalls_;
+        for (const auto &[key, execution] : executions_) {
+            result.listeners += static_cast<std::uint32_t>(execution.answer.listenerCount());
         }
         return result;
     }
 
 private:
-    struct Run
+    struct Execution
     {
         ExchangeId exchange = 0;
-        bool call = false; // else a replay
-        bool started = false;
-        bool held = false; // until release(): a listener may still be on its way here
-        FailureReason cancelled = FailureReason::CallerGone; // why, once it was
-        AdapterVersion which;
+        bool isCall = false; // false for a replay
+        bool hasStarted = false;
+        bool isRetained = false; // until release(), since a listener may still be attached
+        FailureReason cancelReason = FailureReason::CallerGone; // valid once cancelled
+        AdapterVersion adapter;
         AnswerBuffer answer;
     };
     struct Reply
@@ -200,9 +201,9 @@
         std::string body;
     };
     static constexpr std::uint64_t replayBit = 1ULL << 63;
-    static constexpr int reportTimeouts = 4; // intervals
-    static constexpr std::size_t replyLimit = 4U << 20;
-    static constexpr Duration confirmInterval = Milliseconds(50);
+    static constexpr int reportTimeoutIntervals = 4; // in report intervals
+    static constexpr std::size_t maxReplyBytes = 4U << 20;
+    static constexpr Duration cancelCheckInterval = Milliseconds(50);
 
     static HttpClientInit clientInit(const EndpointInit &init)
     {
@@ -213,35 +214,39 @@
         return result;
     }
 
-    Run &addRun(ExecutionHandle key, std::size_t keepBytes)
+    Execution &addExecution(ExecutionHandle key, std::size_t maxKeptBytes)
     {
-        return runs_
-            .insert_or_assign(
-                key,
-                Run{0, false, false, false, FailureReason::CallerGone, {}, AnswerBuffer(keepBytes, init_.windowBytes)})
+        return executions_
+            .insert_or_assign(key, Execution{0,
+                                             false,
+                                             false,
+                                             false,
+                                             FailureReason::CallerGone,
+                                             {},
+                                             AnswerBuffer(maxKeptBytes, init_.windowBytes)})
             .first->second;
     }
 
     void onHead(ExecutionHandle key, const HttpResponseHead &head)
     {
-        auto &run = runs_.at(key);
+        auto &execution = executions_.at(key);
         HttpHeaders headers;
         for (const auto &header : head.headers) {
             if (!isHopByHop(header.first)) {
                 headers.push_back(header);
             }
         }
-        run.answer.setHead(head.status, std::move(headers));
-        if (!std::exchange(run.started, true)) {
+        execution.answer.setHead(head.status, std::move(headers));
+        if (!std::exchange(execution.hasStarted, true)) {
             handlers_.started(key);
         }
-        run.answer.pump(handlers_.send);
+        execution.answer.pump(handlers_.send);
     }
 
     void onData(ExecutionHandle key, const std::string &data)
     {
-        auto &run = runs_.at(key);
-        run.answer.append(data);
+        auto &execution = executions_.at(key);
+        execution.answer.append(data);
         pump(key);
     }
 
@@ -249,7 +254,7 @@
     {
         if (end == ExchangeEnd::CancelUnconfirmed) {
             ++stats_.unconfirmedCancels;
-            confirmByList(key);
+            confirmCancel(key);
             return;
         }
         if (end == ExchangeEnd::Broken) {
@@ -257,7 +262,7 @@
         }
         auto outcome = outcomeOf(end);
         if (outcome.outcome == CallOutcome::Cancelled) {
-            outcome.failure = runs_.at(key).cancelled;
+            outcome.failure = executions_.at(key).cancelReason;
         }
         finish(key, outcome);
     }
@@ -276,105 +281,105 @@
         case ExchangeEnd::Count:
             break;
         }
-        // Whether the endpoint goes on with the call is not known.
+        // The endpoint may still be processing the call.
         return {CallOutcome::Unknown, FailureReason::EndpointCut, 0};
     }
 
     void finish(ExecutionHandle key, AnswerOutcome outcome)
     {
-        const auto found = runs_.find(key);
-        if (found == runs_.end()) {
+        const auto found = executions_.find(key);
+        if (found == executions_.end()) {
             return;
         }
-        auto &run = found->second;
-        --running_;
+        auto &execution = found->second;
+        --runningCalls_;
         KeptAnswer kept;
-        kept.status = run.answer.status();
-        kept.headers = run.answer.headers();
-        outcome.tokens = protocol_.generatedTokens(run.answer.tail());
-        auto whole = run.answer.whole();
-        const bool tooLong = !whole;
-        // A repeat cannot be given an answer that was not kept: for it, the outcome is not known.
-        kept.outcome = tooLong && outcome.outcome == CallOutcome::Complete ? CallOutcome::Unknown : outcome.outcome;
+        kept.status = execution.answer.status();
+        kept.headers = execution.answer.headers();
+        outcome.generatedTokens = protocol_.generatedTokens(execution.answer.bufferedBody());
+        auto body = execution.answer.completeBody();
+        const bool isTooLong = !body;
+        // A repeat cannot receive an answer that was not kept, so its outcome is unknown.
+        kept.outcome = isTooLong && outcome.outcome == CallOutcome::Complete ? CallOutcome::Unknown : outcome.outcome;
         kept.failure =
-            tooLong && outcome.failure == FailureReason::None ? FailureReason::AnswerIncomplete : outcome.failure;
-        kept.body = std::move(whole).value_or(std::string());
-        run.answer.finish(outcome);
-        handlers_.ended(key, std::move(kept), outcome.tokens);
+            isTooLong && outcome.failure == FailureReason::None ? FailureReason::AnswerIncomplete : outcome.failure;
+        kept.body = std::move(body).value_or(std::string());
+        execution.answer.finish(outcome);
+        handlers_.ended(key, std::move(kept), outcome.generatedTokens);
         pump(key);
     }
 
-    // The connection was closed, but the engine has not closed its side. The call is over only when a list made
-    // after the close shows none running on its adapter: until then its pin stays.
-    void confirmByList(ExecutionHandle key)
+    // The engine has not confirmed the cancel by closing the connection. Polls its metrics until they list no call
+    // running on the adapter; until then the adapter stays pinned.
+    void confirmCancel(ExecutionHandle key)
     {
         auto reply = std::make_shared<Reply>();
-        fetch(protocol_.reportRequest(), init_.reportInterval * reportTimeouts, reply,
+        fetch(protocol_.reportRequest(), init_.reportInterval * reportTimeoutIntervals, reply,
               [this, key, reply](ExchangeEnd end) {
-                  const auto found = runs_.find(key);
-                  if (found == runs_.end()) {
+                  const auto found = executions_.find(key);
+                  if (found == executions_.end()) {
                       return;
                   }
-                  const auto list = end == ExchangeEnd::Complete ? protocol_.readList(R"({"data":[]})", reply->body)
+                  const auto list = end == ExchangeEnd::Complete ? protocol_.parseList(R"({"data":[]})", reply->body)
                                                                  : std::optional<EngineList>();
-                  const bool runs =
+                  const bool isRunning =
                       !list || std::any_of(list->running.begin(), list->running.end(), [&](const auto &entry) {
-                          return entry.first == found->second.which;
+                          return entry.first == found->second.adapter;
                       });
-                  if (!runs) {
-                      finish(key, {CallOutcome::Cancelled, found->second.cancelled, 0});
+                  if (!isRunning) {
+                      finish(key, {CallOutcome::Cancelled, found->second.cancelReason, 0});
                       return;
                   }
                   if (end == ExchangeEnd::Unreachable) {
                       finish(key, {CallOutcome::Unknown, FailureReason::EndpointCut, 0});
                       return;
                   }
-                  loop_.timers().subscribe(EventLoop::now() + confirmInterval,
-                                           [this, key](TimePoint) { confirmByList(key); });
+                  loop_.timers().subscribe(EventLoop::now() + cancelCheckInterval,
+                                           [this, key](TimePoint) { confirmCancel(key); });
               });
     }
 
-    void tellIdle()
+    void notifyIfIdle()
     {
-        if (runs_.empty() && idle_) {
-            std::exchange(idle_, nullptr)();
+        if (executions_.empty() && onIdle_) {
+            std::exchange(onIdle_, nullptr)();
         }
     }
 
     void pump(ExecutionHandle key)
     {
-        const auto found = runs_.find(key);
-        if (found == runs_.end()) {
+        const auto found = executions_.find(key);
+        if (found == executions_.end()) {
             return;
         }
-        auto &run = found->second;
-        run.answer.pump(handlers_.send);
-        if (run.answer.done() && !run.held) {
-            runs_.erase(found);
-            tellIdle();
+        auto &execution = found->second;
+        execution.answer.pump(handlers_.send);
+        if (execution.answer.isDelivered() && !execution.isRetained) {
+            executions_.erase(found);
+            notifyIfIdle();
             return;
         }
-        if (!run.answer.ended() && run.exchange != 0) {
-            client_.pause(run.exchange, run.answer.full());
+        if (!execution.answer.isFinished() && execution.exchange != 0) {
+            client_.pause(execution.exchange, execution.answer.isFull());
         }
     }
 
     template<class Drop>
     void dropListeners(Drop drop)
     {
-        std::vector<ExecutionHandle> ended;
-        for (auto &[key, run] : runs_) {
-            if (run.answer.ended()) {
-                drop(run.answer);
-                ended.push_back(key);
+        std::vector<ExecutionHandle> finished;
+        for (auto &[key, execution] : executions_) {
+            if (execution.answer.isFinished()) {
+                drop(execution.answer);
+                finished.push_back(key);
             }
         }
-        for (const auto key : ended) {
+        for (const auto key : finished) {
             pump(key);
         }
     }
 
-    void sendLost(PeerHandle to, const wire::AttemptId &id)
+    void sendAnswerLost(PeerHandle to, const wire::AttemptId &id)
     {
         wire::Envelope message;
         auto &end = *message.mutable_call_end();
@@ -387,15 +392,15 @@
     void list(const SendOrder &order)
     {
         auto models = std::make_shared<Reply>();
-        const auto step = order.timeout;
-        fetch(protocol_.listRequest(), step, models, [this, order, models, step](ExchangeEnd end) {
+        const auto timeout = order.timeout;
+        fetch(protocol_.listRequest(), timeout, models, [this, order, models, timeout](ExchangeEnd end) {
             if (end != ExchangeEnd::Complete) {
                 listFailed(order, end);
                 return;
             }
             auto metrics = std::make_shared<Reply>();
-            fetch(protocol_.reportRequest(), step, metrics, [this, order, models, metrics](ExchangeEnd last) {
-                const auto read = last == ExchangeEnd::Complete ? protocol_.readList(models->body, metrics->body)
+            fetch(protocol_.reportRequest(), timeout, metrics, [this, order, models, metrics](ExchangeEnd last) {
+                const auto read = last == ExchangeEnd::Complete ? protocol_.parseList(models->body, metrics->body)
                                                                 : std::optional<EngineList>();
                 if (!read) {
                     listFailed(order, last);
@@ -408,7 +413,7 @@
 
     void listFailed(const SendOrder &order, ExchangeEnd end)
     {
-        handlers_.orderDone(order.order, OrderOutcome::Failed); // reading has no effect that could be in doubt
+        handlers_.orderDone(order.order, OrderOutcome::Failed); // a failed read leaves no effect in doubt
         if (end == ExchangeEnd::Unreachable) {
             handlers_.lost();
         }
@@ -417,15 +422,15 @@
     void fetch(const EndpointRequest &request, Duration timeout, const std::shared_ptr<Reply> &reply,
                std::function<void(ExchangeEnd)> end)
     {
-        ExchangeHandlers on;
-        on.head = [reply](const HttpResponseHead &head) { reply->status = head.status; };
-        on.data = [reply](const std::string &data) {
-            if (reply->body.size() + data.size() <= replyLimit) {
+        ExchangeHandlers exchangeHandlers;
+        exchangeHandlers.head = [reply](const HttpResponseHead &head) { reply->status = head.status; };
+        exchangeHandlers.data = [reply](const std::string &data) {
+            if (reply->body.size() + data.size() <= maxReplyBytes) {
                 reply->body.append(data);
             }
         };
-        on.end = std::move(end);
-        client_.start(request, timeout, std::move(on));
+        exchangeHandlers.end = std::move(end);
+        client_.start(request, timeout, std::move(exchangeHandlers));
     }
 
     EventLoop &loop_;
@@ -434,11 +439,11 @@
     Protocol protocol_;
     HttpClient client_;
     EndpointStats stats_;
-    std::uint32_t running_ = 0;
-    std::uint64_t lastReplay_ = 0;
-    // Executions whose answer has not gone to all listeners yet or that are not released yet, and replays.
-    std::unordered_map<ExecutionHandle, Run> runs_;
-    std::function<void()> idle_; // set while somebody waits for runs_ to be empty
+    std::uint32_t runningCalls_ = 0;
+    std::uint64_t lastReplayKey_ = 0;
+    // Executions that are not yet released or fully delivered to their listeners, and replays.
+    std::unordered_map<ExecutionHandle, Execution> executions_;
+    std::function<void()> onIdle_; // set while a caller waits for executions_ to become empty
     TimerHandle reportTimer_;
 };
 
--- a/src/endpoint/model_engine.cpp
+++ b/src/endpoint/model_engine.cpp
@@ -1,4 +1,4 @@
-// Requests to a model engine and the reading of its answers.
+// Encodes requests to a model engine and parses its responses.
 #include "model_engine.h"
 
 #include <Poco/Exception.h>
@@ -14,23 +14,23 @@
 
 namespace {
 
-constexpr std::string_view fenceName = "anvilscale-fence"; // reserved: no adapter has this name
+constexpr std::string_view fenceAdapterName = "anvilscale-fence"; // reserved, never an adapter name
 constexpr std::uint32_t statusOk = 200;
 constexpr std::uint32_t statusBadRequest = 400;
 constexpr std::uint32_t statusNotFound = 404;
 constexpr std::uint32_t statusConflict = 409;
-constexpr std::uint32_t statusFencedOff = 412;
-constexpr std::uint32_t statusTooMany = 429;
-constexpr std::uint32_t statusUnavailable = 503;
+constexpr std::uint32_t statusPreconditionFailed = 412;
+constexpr std::uint32_t statusTooManyRequests = 429;
+constexpr std::uint32_t statusServiceUnavailable = 503;
 constexpr double millisecondsPerSecond = 1000.0;
 constexpr std::uint32_t permille = 1000;
 
-std::string nameOf(const SendOrder &order)
+std::string adapterNameOf(const SendOrder &order)
 {
-    return order.kind == OrderKind::Fence ? std::string(fenceName) : order.which.text();
+    return order.kind == OrderKind::Fence ? std::string(fenceAdapterName) : order.which.text();
 }
 
-/// Value of the first sample of a metric in the Prometheus text format.
+/// Value of a metric's first sample in the Prometheus text format.
 std::optional<double> metricValue(std::string_view text, std::string_view name)
 {
     std::size_t at = 0;
@@ -38,9 +38,9 @@
         const auto end = std::min(text.find('\n', at), text.size());
         const auto line = text.substr(at, end - at);
         at = end + 1;
-        const bool named = line.starts_with(name) && line.size() > name.size()
-                           && (line[name.size()] == ' ' || line[name.size()] == '{');
-        if (!named) {
+        const bool isMatch = line.starts_with(name) && line.size() > name.size()
+                             && (line[name.size()] == ' ' || line[name.size()] == '{');
+        if (!isMatch) {
             continue;
         }
         const auto value = line.substr(line.rfind(' ') + 1);
@@ -53,8 +53,8 @@
     return std::nullopt;
 }
 
-/// Value of a label of the last sample of a metric; vLLM leaves older samples of an info metric standing.
-std::string metricLabel(std::string_view text, std::string_view name, std::string_view label)
+/// Label value of a metric's last sample. vLLM keeps outdated samples of info metrics before it.
+std::string metricLabelValue(std::string_view text, std::string_view name, std::string_view label)
 {
     const auto sample = text.rfind("\n" + std::string(name) + "{");
     if (sample == std::string_view::npos) {
@@ -70,7 +70,7 @@
     return std::string(value.substr(0, value.find('"')));
 }
 
-std::optional<AdapterVersion> parseName(std::string_view name)
+std::optional<AdapterVersion> parseAdapterName(std::string_view name)
 {
     const auto at = name.rfind('@');
     if (at == std::string_view::npos || at == 0) {
@@ -79,33 +79,33 @@
     return AdapterVersion{std::string(name.substr(0, at)), std::string(name.substr(at + 1))};
 }
 
-void addRunning(EngineList &list, const std::string &names)
+void addRunningAdapters(EngineList &list, const std::string &names)
 {
     std::istringstream stream(names);
     std::string name;
     while (std::getline(stream, name, ',')) {
-        const auto which = parseName(name);
-        if (!which) {
+        const auto version = parseAdapterName(name);
+        if (!version) {
             continue;
         }
-        const bool known = std::any_of(list.running.begin(), list.running.end(),
-                                       [&](const auto &entry) { return entry.first == *which; });
-        if (!known) {
-            list.running.emplace_back(*which, 1); // the metric names adapters, not how many calls
+        const bool isListed = std::any_of(list.running.begin(), list.running.end(),
+                                          [&](const auto &entry) { return entry.first == *version; });
+        if (!isListed) {
+            list.running.emplace_back(*version, 1); // the metric lists adapters without call counts
         }
     }
 }
 
-std::optional<std::uint64_t> incarnationOf(const std::string &metrics)
+std::optional<std::uint64_t> parseIncarnation(const std::string &metrics)
 {
-    const auto started = metricValue(metrics, "process_start_time_seconds");
-    if (!started) {
+    const auto startSeconds = metricValue(metrics, "process_start_time_seconds");
+    if (!startSeconds) {
         return std::nullopt;
     }
-    return static_cast<std::uint64_t>(*started * millisecondsPerSecond);
+    return static_cast<std::uint64_t>(*startSeconds * millisecondsPerSecond);
 }
 
-std::size_t countEvents(std::string_view answer)
+std::size_t countStreamEvents(std::string_view answer)
 {
     std::size_t events = 0;
     for (auto at = answer.find("data: "); at != std::string_view::npos; at = answer.find("data: ", at + 1)) {
@@ -121,7 +121,7 @@
 {
 }
 
-EndpointRequest ModelEngine::call(const wire::CallRequest &call) const
+EndpointRequest ModelEngine::callRequest(const wire::CallRequest &call) const
 {
     EndpointRequest request;
     request.method = call.method();
@@ -129,18 +129,18 @@
     for (const auto &header : call.headers()) {
         request.headers.emplace_back(header.name(), header.value());
     }
-    const AdapterVersion which{call.adapter(), call.version()};
-    // The engine orders by priority, lower first: the operators' class, whatever the caller wrote.
-    request.body = rewriteModelCall(call.body(), which.text(), static_cast<int>(call.call_class()));
+    const AdapterVersion version{call.adapter(), call.version()};
+    // The engine schedules lower priorities first. The configured call class overrides the caller's value.
+    request.body = rewriteModelCall(call.body(), version.text(), static_cast<int>(call.call_class()));
     return request;
 }
 
-EndpointRequest ModelEngine::order(const SendOrder &order) const
+EndpointRequest ModelEngine::orderRequest(const SendOrder &order) const
 {
     EndpointRequest request;
     request.method = "POST";
     Poco::JSON::Object body;
-    body.set("lora_name", nameOf(order));
+    body.set("lora_name", adapterNameOf(order));
     if (order.kind == OrderKind::Load) {
         request.target = "/v1/load_lora_adapter";
         body.set("lora_path", order.weights);
@@ -151,24 +151,24 @@
     std::ostringstream text;
     body.stringify(text);
     request.body = text.str();
-    request.freshConnection = true; // so that "not sent" and "reply lost" are told apart
+    request.freshConnection = true; // distinguishes "not sent" from "reply lost"
     return request;
 }
 
-OrderOutcome ModelEngine::orderOutcome(const SendOrder &order, std::uint32_t status, const std::string &body) const
+OrderOutcome ModelEngine::parseOrderOutcome(const SendOrder &order, std::uint32_t status, const std::string &body) const
 {
-    if (status == statusFencedOff) {
+    if (status == statusPreconditionFailed) {
         return OrderOutcome::FencedOff;
     }
-    const bool absent = order.kind != OrderKind::Load && status == statusNotFound;
-    const bool present =
+    const bool isAlreadyAbsent = order.kind != OrderKind::Load && status == statusNotFound;
+    const bool isAlreadyLoaded =
         order.kind == OrderKind::Load && status == statusBadRequest && body.find("already") != std::string::npos;
-    if (status == statusOk || absent || present) {
+    if (status == statusOk || isAlreadyAbsent || isAlreadyLoaded) {
         return OrderOutcome::Done;
     }
-    const bool refused = status == statusTooMany || status == statusUnavailable || status == statusBadRequest
-                         || status == statusConflict;
-    return refused ? OrderOutcome::Refused : OrderOutcome::Failed;
+    const bool isRefused = status == statusTooManyRequests || status == statusServiceUnavailable
+                           || status == statusBadRequest || status == statusConflict;
+    return isRefused ? OrderOutcome::Refused : OrderOutcome::Failed;
 }
 
 EndpointRequest ModelEngine::listRequest() const
@@ -187,10 +187,10 @@
     return request;
 }
 
-std::optional<EngineList> ModelEngine::readList(const std::string &models, const std::string &metrics) const
+std::optional<EngineList> ModelEngine::parseList(const std::string &models, const std::string &metrics) const
 {
     EngineList list;
-    const auto incarnation = incarnationOf(metrics);
+    const auto incarnation = parseIncarnation(metrics);
     if (!incarnation) {
         return std::nullopt;
     }
@@ -203,22 +203,22 @@
             return std::nullopt;
         }
         for (unsigned i = 0; i < data->size(); ++i) {
-            const auto which = parseName(data->getObject(i)->getValue<std::string>("id"));
-            if (which) {
-                list.loaded.push_back(*which);
+            const auto version = parseAdapterName(data->getObject(i)->getValue<std::string>("id"));
+            if (version) {
+                list.loaded.push_back(*version);
             }
         }
     } catch (const Poco::Exception &) {
         return std::nullopt;
     }
-    addRunning(list, metricLabel(metrics, "vllm:lora_requests_info", "running_lora_adapters"));
-    addRunning(list, metricLabel(metrics, "vllm:lora_requests_info", "waiting_lora_adapters"));
+    addRunningAdapters(list, metricLabelValue(metrics, "vllm:lora_requests_info", "running_lora_adapters"));
+    addRunningAdapters(list, metricLabelValue(metrics, "vllm:lora_requests_info", "waiting_lora_adapters"));
     return list;
 }
 
-std::optional<EngineReport> ModelEngine::readReport(const std::string &metrics) const
+std::optional<EngineReport> ModelEngine::parseReport(const std::string &metrics) const
 {
-    const auto incarnation = incarnationOf(metrics);
+    const auto incarnation = parseIncarnation(metrics);
     if (!incarnation) {
         return std::nullopt;
     }
@@ -235,7 +235,8 @@
     constexpr std::string_view key = "\"completion_tokens\":";
     const auto at = answer.rfind(key);
     if (at == std::string::npos) {
-        return static_cast<std::uint32_t>(countEvents(answer)); // a stream without usage: about one token an event
+        return static_cast<std::uint32_t>(
+            countStreamEvents(answer)); // stream without usage data: about one token per event
     }
     const auto digits = answer.find_first_not_of(' ', at + key.size());
     std::uint32_t tokens = 0;
--- a/src/endpoint/model_engine.h
+++ b/src/endpoint/model_engine.h
@@ -1,5 +1,5 @@
-// A model engine with the OpenAI-compatible HTTP interface that vLLM publishes, with LoRA adapters loaded and
-// unloaded at run time. An adapter version goes by the name "adapter@version" there.
+// Protocol of a model engine with vLLM's OpenAI-compatible HTTP interface and runtime loading of LoRA adapters.
+// Adapter versions are named "adapter@version".
 #pragma once
 
 #include "anvilscale/endpoint.h"
@@ -11,13 +11,13 @@
 public:
     explicit ModelEngine(std::uint32_t batchLimit);
 
-    EndpointRequest call(const wire::CallRequest &call) const;
-    EndpointRequest order(const SendOrder &order) const;
-    OrderOutcome orderOutcome(const SendOrder &order, std::uint32_t status, const std::string &body) const;
+    EndpointRequest callRequest(const wire::CallRequest &call) const;
+    EndpointRequest orderRequest(const SendOrder &order) const;
+    OrderOutcome parseOrderOutcome(const SendOrder &order, std::uint32_t status, const std::string &body) const;
     EndpointRequest listRequest() const;
     EndpointRequest reportRequest() const;
-    std::optional<EngineList> readList(const std::string &models, const std::string &metrics) const;
-    std::optional<EngineReport> readReport(const std::string &metrics) const;
+    std::optional<EngineList> parseList(const std::string &models, const std::string &metrics) const;
+    std::optional<EngineReport> parseReport(const std::string &metrics) const;
     std::uint32_t generatedTokens(const std::string &answer) const;
 
 private:
--- a/src/endpoint/plain_service.cpp
+++ b/src/endpoint/plain_service.cpp
@@ -1,15 +1,15 @@
-// Requests to a plain service. That it answers at all is its report.
+// Encodes requests to a plain service. Any response to the health request counts as a report.
 #include "plain_service.h"
 
 namespace anvilscale {
 
 namespace {
 
-constexpr std::uint64_t anyIncarnation = 1; // a plain service does not tell when it was started
+constexpr std::uint64_t fixedIncarnation = 1; // a plain service does not report its start time
 
 } // namespace
 
-EndpointRequest PlainService::call(const wire::CallRequest &call) const
+EndpointRequest PlainService::callRequest(const wire::CallRequest &call) const
 {
     EndpointRequest request;
     request.method = call.method();
@@ -21,19 +21,19 @@
         request.headers.emplace_back("Idempotency-Key", call.key());
     }
     request.body = call.body();
-    // A kept connection may be closed by the service just when the request is sent. The outcome would be unknown,
-    // and a call that must not run twice could not be tried again.
+    // The service may close a kept-alive connection while the request is being sent. The outcome would be unknown and
+    // a non-idempotent call could not be retried.
     request.freshConnection = !call.idempotent();
     return request;
 }
 
-EndpointRequest PlainService::order(const SendOrder & /*order*/) const
+EndpointRequest PlainService::orderRequest(const SendOrder & /*order*/) const
 {
     return reportRequest();
 }
 
-OrderOutcome PlainService::orderOutcome(const SendOrder & /*order*/, std::uint32_t /*status*/,
-                                        const std::string & /*body*/) const
+OrderOutcome PlainService::parseOrderOutcome(const SendOrder & /*order*/, std::uint32_t /*status*/,
+                                             const std::string & /*body*/) const
 {
     return OrderOutcome::Done;
 }
@@ -51,17 +51,17 @@
     return request;
 }
 
-std::optional<EngineList> PlainService::readList(const std::string & /*body*/, const std::string & /*metrics*/) const
+std::optional<EngineList> PlainService::parseList(const std::string & /*body*/, const std::string & /*metrics*/) const
 {
     EngineList list;
-    list.incarnation = anyIncarnation;
+    list.incarnation = fixedIncarnation;
     return list;
 }
 
-std::optional<EngineReport> PlainService::readReport(const std::string & /*body*/) const
+std::optional<EngineReport> PlainService::parseReport(const std::string & /*body*/) const
 {
     EngineReport report;
-    report.incarnation = anyIncarnation;
+    report.incarnation = fixedIncarnation;
     return report;
 }
 
--- a/src/endpoint/plain_service.h
+++ b/src/endpoint/plain_service.h
@@ -1,4 +1,4 @@
-// A plain HTTP service: calls go to it as the caller made them. It takes no orders.
+// Protocol of a plain HTTP service: calls are forwarded unchanged, adapter orders are not supported.
 #pragma once
 
 #include "anvilscale/endpoint.h"
@@ -8,13 +8,13 @@
 class PlainService
 {
 public:
-    EndpointRequest call(const wire::CallRequest &call) const;
-    EndpointRequest order(const SendOrder &order) const;
-    OrderOutcome orderOutcome(const SendOrder &order, std::uint32_t status, const std::string &body) const;
+    EndpointRequest callRequest(const wire::CallRequest &call) const;
+    EndpointRequest orderRequest(const SendOrder &order) const;
+    OrderOutcome parseOrderOutcome(const SendOrder &order, std::uint32_t status, const std::string &body) const;
     EndpointRequest listRequest() const;
     EndpointRequest reportRequest() const;
-    std::optional<EngineList> readList(const std::string &body, const std::string &metrics) const;
-    std::optional<EngineReport> readReport(const std::string &body) const;
+    std::optional<EngineList> parseList(const std::string &body, const std::string &metrics) const;
+    std::optional<EngineReport> parseReport(const std::string &body) const;
     std::uint32_t generatedTokens(const std::string &answer) const;
 };
 
--- a/tests/unit/endpoint_test.cpp
+++ b/tests/unit/endpoint_test.cpp
@@ -1,4 +1,4 @@
-// The answer of an execution and its listeners, and what is said to a model engine; without sockets.
+// Unit tests of the answer buffer and of the model engine protocol, without sockets.
 #include "../src/endpoint/answer_buffer.h"
 #include "../src/endpoint/model_engine.h"
 #include "wire.pb.h"
@@ -10,17 +10,17 @@
 
 using namespace anvilscale;
 
-constexpr std::uint64_t muchCredit = 1U << 30;
+constexpr std::uint64_t largeCredit = 1U << 30;
 
-/// What one listener was sent, checked as an entry checks it.
-struct Received
+/// Records what one listener received and verifies frame order like an entry does.
+struct ReceivedAnswer
 {
     std::string data;
     std::uint32_t frames = 0;
     std::optional<wire::CallEnd> end;
     Digest digest;
 
-    void take(const wire::Envelope &message)
+    void add(const wire::Envelope &message)
     {
         if (message.has_call_frame()) {
             EXPECT_EQ(message.call_frame().sequence(), frames);
@@ -32,108 +32,107 @@
             end = message.call_end();
         }
     }
-    bool whole() const
+    bool isComplete() const
     {
         return end && end->frames() == frames && end->digest() == digest.value()
                && end->outcome() == static_cast<std::uint32_t>(CallOutcome::Complete);
     }
 };
 
-wire::AttemptId attempt(std::uint64_t call)
+wire::AttemptId attemptId(std::uint64_t call)
 {
     wire::AttemptId id;
     id.set_call(call);
     return id;
 }
 
-class Listeners
+class ListenerRecorder
 {
 public:
     AnswerBuffer::Send send()
     {
-        return [this](PeerHandle peer, const wire::Envelope &message) { of(peer.value).take(message); };
+        return [this](PeerHandle peer, const wire::Envelope &message) { listener(peer.value).add(message); };
     }
-    Received &of(std::uint64_t number)
+    ReceivedAnswer &listener(std::uint64_t number)
     {
         return received_[number];
     }
 
 private:
-    std::map<std::uint64_t, Received> received_;
+    std::map<std::uint64_t, ReceivedAnswer> received_;
 };
 
-RC_GTEST_PROP(AnswerBufferTest, EveryListenerGetsAllBytesWithinItsCredit,
+RC_GTEST_PROP(AnswerBufferTest, EveryListenerReceivesAllBytesWithinItsCredit,
               (const std::vector<std::string> &parts, const std::vector<std::uint8_t> &credits))
 {
-    Listeners listeners;
+    ListenerRecorder listeners;
     AnswerBuffer answer(1 << 20, 1 << 20);
-    answer.addListener({PeerHandle{1}, attempt(1), 0, 0, false});
+    answer.addListener({PeerHandle{1}, attemptId(1), 0, 0, false});
     answer.setHead(200, {});
-    std::string all;
-    std::uint64_t given = 0;
+    std::string expected;
+    std::uint64_t grantedCredit = 0;
     std::size_t next = 0;
     for (const auto &part : parts) {
         answer.append(part);
-        all += part;
+        expected += part;
         const std::uint64_t credit = credits.empty() ? 0 : credits[next++ % credits.size()];
-        answer.addCredit(PeerHandle{1}, attempt(1), credit);
-        given += credit;
+        answer.addCredit(PeerHandle{1}, attemptId(1), credit);
+        grantedCredit += credit;
         if (next == 2) {
-            answer.addListener({PeerHandle{2}, attempt(2), muchCredit, 0, false}); // comes late
+            answer.addListener({PeerHandle{2}, attemptId(2), largeCredit, 0, false}); // attached late
         }
         answer.pump(listeners.send());
-        RC_ASSERT(listeners.of(1).data.size() <= given);
+        RC_ASSERT(listeners.listener(1).data.size() <= grantedCredit);
     }
     answer.finish({CallOutcome::Complete, FailureReason::None, 0});
-    answer.addListener({PeerHandle{3}, attempt(3), muchCredit, 0, false}); // comes after the end
-    answer.addCredit(PeerHandle{1}, attempt(1), muchCredit);
+    answer.addListener({PeerHandle{3}, attemptId(3), largeCredit, 0, false}); // attached after the end
+    answer.addCredit(PeerHandle{1}, attemptId(1), largeCredit);
     answer.pump(listeners.send());
-    RC_ASSERT(answer.done());
+    RC_ASSERT(answer.isDelivered());
     for (const std::uint64_t number : {1U, 3U}) {
-        RC_ASSERT(listeners.of(number).whole());
-        RC_ASSERT(listeners.of(number).data == all);
+        RC_ASSERT(listeners.listener(number).isComplete());
+        RC_ASSERT(listeners.listener(number).data == expected);
     }
 }
 
-// A long answer is not kept whole. A repeat that comes after its first bytes were dropped cannot be given all of it:
-// it is told so, and is given no part that could be taken for an answer.
-TEST(AnswerBufferTest, ListenerThatComesTooLateIsGivenNothing)
+// Guards against sending a truncated answer to a listener attached after the first bytes were dropped.
+TEST(AnswerBufferTest, LateListenerGetsFailureWithoutData)
 {
-    Listeners listeners;
+    ListenerRecorder listeners;
     AnswerBuffer answer(10, 1000);
-    answer.addListener({PeerHandle{1}, attempt(1), muchCredit, 0, false});
+    answer.addListener({PeerHandle{1}, attemptId(1), largeCredit, 0, false});
     answer.setHead(200, {});
     answer.append(std::string(100, 'a'));
     answer.pump(listeners.send());
-    answer.addListener({PeerHandle{2}, attempt(2), muchCredit, 0, false});
+    answer.addListener({PeerHandle{2}, attemptId(2), largeCredit, 0, false});
     answer.pump(listeners.send());
-    EXPECT_TRUE(listeners.of(2).data.empty());
-    ASSERT_TRUE(listeners.of(2).end);
-    EXPECT_EQ(listeners.of(2).end->failure(), static_cast<std::uint32_t>(FailureReason::AnswerIncomplete));
+    EXPECT_TRUE(listeners.listener(2).data.empty());
+    ASSERT_TRUE(listeners.listener(2).end);
+    EXPECT_EQ(listeners.listener(2).end->failure(), static_cast<std::uint32_t>(FailureReason::AnswerIncomplete));
     answer.append("end");
     answer.finish({CallOutcome::Complete, FailureReason::None, 0});
     answer.pump(listeners.send());
-    EXPECT_TRUE(listeners.of(1).whole());
-    EXPECT_EQ(listeners.of(1).data.size(), 103U);
-    EXPECT_FALSE(answer.whole());
+    EXPECT_TRUE(listeners.listener(1).isComplete());
+    EXPECT_EQ(listeners.listener(1).data.size(), 103U);
+    EXPECT_FALSE(answer.completeBody());
 }
 
-TEST(AnswerBufferTest, SlowListenerStopsTheReading)
+TEST(AnswerBufferTest, SlowListenerPausesReading)
 {
-    Listeners listeners;
+    ListenerRecorder listeners;
     AnswerBuffer answer(1000, 50);
-    answer.addListener({PeerHandle{1}, attempt(1), 10, 0, false});
+    answer.addListener({PeerHandle{1}, attemptId(1), 10, 0, false});
     answer.setHead(200, {});
     answer.append(std::string(100, 'a'));
     answer.pump(listeners.send());
-    EXPECT_EQ(listeners.of(1).data.size(), 10U);
-    EXPECT_TRUE(answer.full());
-    answer.addCredit(PeerHandle{1}, attempt(1), 60);
+    EXPECT_EQ(listeners.listener(1).data.size(), 10U);
+    EXPECT_TRUE(answer.isFull());
+    answer.addCredit(PeerHandle{1}, attemptId(1), 60);
     answer.pump(listeners.send());
-    EXPECT_FALSE(answer.full());
+    EXPECT_FALSE(answer.isFull());
 }
 
-SendOrder orderOf(OrderKind kind)
+SendOrder makeOrder(OrderKind kind)
 {
     SendOrder order;
     order.kind = kind;
@@ -146,14 +145,14 @@
 TEST(ModelEngineTest, OrdersCarryNameWeightsAndFence)
 {
     const ModelEngine engine(16);
-    const auto load = engine.order(orderOf(OrderKind::Load));
+    const auto load = engine.orderRequest(makeOrder(OrderKind::Load));
     EXPECT_EQ(load.target, "/v1/load_lora_adapter");
     EXPECT_EQ(load.body, R"({"lora_name":"guest@v1","lora_path":"/w/guest"})");
     EXPECT_EQ(*findHeader(load.headers, "X-Fencing-Token"), "7");
-    EXPECT_EQ(engine.order(orderOf(OrderKind::Fence)).body, R"({"lora_name":"anvilscale-fence"})");
+    EXPECT_EQ(engine.orderRequest(makeOrder(OrderKind::Fence)).body, R"({"lora_name":"anvilscale-fence"})");
 }
 
-TEST(ModelEngineTest, OutcomesOfOrders)
+TEST(ModelEngineTest, MapsStatusToOrderOutcome)
 {
     struct Case
     {
@@ -175,13 +174,13 @@
         {OrderKind::Fence, 404, "", OrderOutcome::Done},
     };
     const ModelEngine engine(16);
-    for (const auto &each : cases) {
-        EXPECT_EQ(engine.orderOutcome(orderOf(each.kind), each.status, each.body), each.outcome)
-            << toString(each.kind) << " " << each.status << " " << each.body;
+    for (const auto &testCase : cases) {
+        EXPECT_EQ(engine.parseOrderOutcome(makeOrder(testCase.kind), testCase.status, testCase.body), testCase.outcome)
+            << toString(testCase.kind) << " " << testCase.status << " " << testCase.body;
     }
 }
 
-TEST(ModelEngineTest, ListAndReportAreRead)
+TEST(ModelEngineTest, ParsesListAndReport)
 {
     const ModelEngine engine(8);
     const std::string metrics =
@@ -189,22 +188,22 @@
         "vllm:num_requests_waiting{m=\"b\"} 2\n"
         "vllm:lora_requests_info{running_lora_adapters=\"old@1\",waiting_lora_adapters=\"\"} 1\n"
         "vllm:lora_requests_info{running_lora_adapters=\"a@1,b@2\",waiting_lora_adapters=\"a@1\"} 2\n";
-    const auto list = engine.readList(R"({"data":[{"id":"base"},{"id":"a@1"},{"id":"b@2"}]})", metrics);
+    const auto list = engine.parseList(R"({"data":[{"id":"base"},{"id":"a@1"},{"id":"b@2"}]})", metrics);
     ASSERT_TRUE(list);
     EXPECT_EQ(list->incarnation, 12500U);
     ASSERT_EQ(list->loaded.size(), 2U);
     EXPECT_EQ(list->loaded[1], (AdapterVersion{"b", "2"}));
     EXPECT_EQ(list->running.size(), 2U);
-    const auto report = engine.readReport(metrics);
+    const auto report = engine.parseReport(metrics);
     ASSERT_TRUE(report);
     EXPECT_EQ(report->running, 4U);
     EXPECT_EQ(report->waiting, 2U);
     EXPECT_EQ(report->stepFillPermille, 500U);
-    EXPECT_FALSE(engine.readList("not json", metrics));
-    EXPECT_FALSE(engine.readReport("nothing"));
+    EXPECT_FALSE(engine.parseList("not json", metrics));
+    EXPECT_FALSE(engine.parseReport("nothing"));
 }
 
-TEST(EndpointUrl, OnlyLoopbackIsTaken)
+TEST(EndpointUrl, AcceptsLoopbackOnly)
 {
     EXPECT_TRUE(parseEndpointUrl("http://127.0.0.1:8000"));
     EXPECT_EQ(parseEndpointUrl("http://10.0.0.1:8000").error(), EndpointErrorKind::NotLoopback);
