--- a/include/anvilscale/ctl.h
+++ b/include/anvilscale/ctl.h
@@ -1,5 +1,4 @@
-// Operators' tool as a library: configuration records in and out of the key-value service, and questions to the
-// running processes. tools/anvilctl.cpp only passes its arguments on.
+// Library behind anvilctl: reads and writes configuration records and queries running processes.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -11,15 +10,15 @@
 
 namespace anvilscale {
 
-/// Exit codes of anvilctl. They are the same with every output form, and never change their meaning.
+/// Exit codes of anvilctl. Stable across releases and identical for all output formats.
 enum class CtlExit : std::uint8_t {
     Done = 0,
-    Usage = 1, ///< the command line is wrong
-    Rejected = 2, ///< records, settings or a name are not valid; nothing was changed
-    Conflict = 3, ///< another writer was first; nothing was changed
+    Usage = 1, ///< invalid command line
+    Rejected = 2, ///< invalid records, settings or name; nothing was changed
+    Conflict = 3, ///< a concurrent change was applied first; nothing was changed
     Unavailable = 4, ///< the platform or a process could not be reached; nothing was changed
-    OutcomeUnknown = 5, ///< the change may have taken effect: look before the next step
-    TimedOut = 6, ///< a wait ended before what it waited for
+    OutcomeUnknown = 5, ///< the change may have taken effect; check the current state first
+    TimedOut = 6, ///< the awaited state was not reached in time
     NotFound = 7, ///< no such record, route or process
     Count
 };
@@ -30,26 +29,26 @@
         "done", "usage", "rejected", "conflict", "unavailable", "outcome_unknown", "timed_out", "not_found"};
 };
 
-/// One record as it stands in a file.
+/// Text of one record and its location in a file.
 struct RecordText
 {
-    std::string source; ///< "FILE:LINE" of its first character
+    std::string source; ///< "FILE:LINE" of the first character
     std::string json;
 };
 
 struct RecordFileError
 {
     std::string source;
-    std::string detail; ///< for people
+    std::string detail; ///< human-readable
 };
 
-/// Cuts a text into its top-level JSON objects: one alone, several one after the other, or one array of them. Each
-/// keeps the bytes that the operator wrote.
+/// Splits a text into its top-level JSON objects: a single one, a sequence or an array. The bytes of each object are
+/// preserved. Fails at the first position where no complete object starts.
 tl::expected<std::vector<RecordText>, RecordFileError> splitRecords(const std::string &source, std::string_view text);
-/// Records of files, and of all files *.json of folders, in order of name.
+/// Reads the records of files and of all *.json files of folders, sorted by name.
 tl::expected<std::vector<RecordText>, RecordFileError> readRecords(const std::vector<std::string> &paths);
 
-/// Runs one command. `arguments` are those after the program's name.
+/// Runs one command. `arguments` exclude the program name.
 CtlExit runCtl(const std::vector<std::string> &arguments, std::ostream &out, std::ostream &err);
 
 } // namespace anvilscale
--- a/src/ctl/command.h
+++ b/src/ctl/command.h
@@ -1,4 +1,4 @@
-// What the commands of anvilctl share: options, and a result that can be printed as JSON or as text.
+// Options, results and entry points of the anvilctl commands.
 #pragma once
 
 #include "anvilscale/ctl.h"
@@ -15,19 +15,19 @@
 
 struct CtlOptions
 {
-    std::vector<std::string> keyValue; ///< gateways of the key-value service
-    std::string prefix = "/anvilscale/";
-    std::string vmList;
-    Duration timeout = Seconds(10); ///< of the whole command
-    bool json = false;
-    std::optional<std::uint64_t> expect; ///< revision that `config apply` must find
-    std::vector<std::string> remove; ///< "KIND/NAME" that `config apply` removes
+    std::vector<std::string> gateways; ///< gateway URLs of the key-value service
+    std::string keyPrefix = "/anvilscale/";
+    std::string vmListUrl;
+    Duration timeout = Seconds(10); ///< time limit of the whole command
+    bool isJsonOutput = false;
+    std::optional<std::uint64_t> expectedRevision; ///< current revision required by `config apply`
+    std::vector<std::string> removedRecords; ///< "KIND/NAME" of records removed by `config apply`
     std::string author;
-    std::size_t limit = 20; ///< of `config history`
-    std::string reason; ///< of `drain`
+    std::size_t historyLimit = 20; ///< maximum number of changes in `config history`
+    std::string drainReason; ///< drain reason, for the log of the process
 };
 
-/// Outcome of a command: exit code, JSON for programs and text for people.
+/// Result of a command: exit code, JSON output and human-readable text.
 struct CtlResult
 {
     CtlExit exit = CtlExit::Done;
@@ -37,12 +37,12 @@
 
 using CtlArguments = std::vector<std::string>;
 
-CtlResult failure(CtlExit exit, const std::string &kind, const std::string &path, const std::string &detail,
-                  std::uint64_t revision = 0);
-CtlResult failure(const ConfigError &error);
+CtlResult makeFailure(CtlExit exit, const std::string &kind, const std::string &path, const std::string &detail,
+                      std::uint64_t revision = 0);
+CtlResult makeFailure(const ConfigError &error);
 
-/// Columns padded to their widest cell, two spaces between them.
-std::string table(const std::vector<std::vector<std::string>> &rows);
+/// Formats rows as text with aligned columns.
+std::string formatTable(const std::vector<std::vector<std::string>> &rows);
 
 CtlResult configValidate(const CtlOptions &options, const CtlArguments &arguments);
 CtlResult configApply(const CtlOptions &options, const CtlArguments &arguments);
--- a/src/ctl/key_value_session.cpp
+++ b/src/ctl/key_value_session.cpp
@@ -1,4 +1,4 @@
-// Drives ConfigWriter for a tool.
+// Blocking key-value session: runs ConfigWriter with replies and timers until it completes.
 #include "key_value_session.h"
 
 #include <algorithm>
@@ -10,19 +10,19 @@
 
 namespace {
 constexpr double callBudget = 50.0;
-constexpr std::uint32_t never = std::numeric_limits<std::uint32_t>::max();
-constexpr std::uint32_t snapshotEvery = 100;
+constexpr std::uint32_t noSnapshot = std::numeric_limits<std::uint32_t>::max();
+constexpr std::uint32_t revisionsPerSnapshot = 100;
 
-ConfigError timedOut(bool mayHaveWritten)
+ConfigError makeTimeoutError(bool mayHaveWritten)
 {
     ConfigError error;
     error.kind = mayHaveWritten ? ConfigErrorKind::OutcomeUnknown : ConfigErrorKind::Unavailable;
-    error.detail = "the key-value service did not answer in time";
+    error.detail = "the key-value service did not respond in time";
     return error;
 }
 } // namespace
 
-Now clocksNow()
+Now currentTime()
 {
     const auto mono = std::chrono::steady_clock::now().time_since_epoch();
     const auto wall = std::chrono::system_clock::now().time_since_epoch();
@@ -32,27 +32,27 @@
 
 std::uint64_t randomSeed()
 {
-    constexpr unsigned half = 32;
+    constexpr unsigned halfBits = 32;
     std::random_device device;
-    return (static_cast<std::uint64_t>(device()) << half) ^ device();
+    return (static_cast<std::uint64_t>(device()) << halfBits) ^ device();
 }
 
 KeyValueSession::KeyValueSession(const CtlOptions &options)
     : options_(options)
-    , deadline_(clocksNow().mono + options.timeout)
-    , gateway_({options.keyValue, std::min<Duration>(options.timeout, Seconds(2)), callBudget}, [this](KvReply reply) {
+    , deadline_(currentTime().mono + options.timeout)
+    , gateway_({options.gateways, std::min<Duration>(options.timeout, Seconds(2)), callBudget}, [this](KvReply reply) {
         const std::scoped_lock lock(mutex_);
         replies_.push_back(std::move(reply));
-        arrived_.notify_all();
+        replyAvailable_.notify_all();
     })
 {
 }
 
-std::optional<KvReply> KeyValueSession::nextReply(TimePoint until)
+std::optional<KvReply> KeyValueSession::nextReply(TimePoint deadline)
 {
     std::unique_lock lock(mutex_);
-    const auto wait = std::max(Duration::zero(), until - clocksNow().mono);
-    if (!arrived_.wait_for(lock, wait, [this] { return !replies_.empty(); })) {
+    const auto timeout = std::max(Duration::zero(), deadline - currentTime().mono);
+    if (!replyAvailable_.wait_for(lock, timeout, [this] { return !replies_.empty(); })) {
         return std::nullopt;
     }
     KvReply reply = std::move(replies_.front());
@@ -60,45 +60,45 @@
     return reply;
 }
 
-tl::expected<std::uint64_t, ConfigError> KeyValueSession::runWriter(ConfigStore &store, std::uint32_t every,
+tl::expected<std::uint64_t, ConfigError> KeyValueSession::runWriter(ConfigStore &store, std::uint32_t snapshotEvery,
                                                                     std::uint32_t schemaVersionOfAll,
-                                                                    const Start &start)
+                                                                    const StartWriter &startWriter)
 {
     Outcome outcome;
-    bool wrote = false;
+    bool hasWritten = false;
     ConfigWriter::Init init;
-    init.keyPrefix = options_.prefix;
+    init.keyPrefix = options_.keyPrefix;
     init.author = options_.author;
     init.schemaVersionOfAll = schemaVersionOfAll;
-    init.snapshotEvery = every;
+    init.snapshotEvery = snapshotEvery;
     init.store = &store;
     init.timers = &timers_;
     init.seed = randomSeed();
     ConfigWriter writer(
         init,
-        [this, &wrote](KvRequest request) {
-            wrote = wrote || request.op == KvOp::Txn;
+        [this, &hasWritten](KvRequest request) {
+            hasWritten = hasWritten || request.op == KvOp::Txn;
             gateway_.submit(std::move(request));
         },
         [&outcome](const ConfigWriter::Result &result, Now) { outcome = result; });
-    start(writer, clocksNow());
+    startWriter(writer, currentTime());
     while (!outcome) {
-        if (clocksNow().mono >= deadline_) {
-            return tl::unexpected(timedOut(wrote));
+        if (currentTime().mono >= deadline_) {
+            return tl::unexpected(makeTimeoutError(hasWritten));
         }
         const auto reply = nextReply(std::min(timers_.next().value_or(deadline_), deadline_));
         if (reply) {
-            writer.onReply(*reply, clocksNow());
+            writer.onReply(*reply, currentTime());
         }
-        timers_.advance(clocksNow().mono);
+        timers_.advance(currentTime().mono);
     }
     return *outcome;
 }
 
-// A compaction that is never due does nothing but read the head.
+// A compaction that never writes a snapshot only reads the head.
 tl::expected<std::uint64_t, ConfigError> KeyValueSession::readHead(ConfigStore &store)
 {
-    return runWriter(store, never, 0, [](ConfigWriter &writer, Now now) { writer.compact(now); });
+    return runWriter(store, noSnapshot, 0, [](ConfigWriter &writer, Now now) { writer.compact(now); });
 }
 
 tl::expected<std::uint64_t, ConfigError> KeyValueSession::apply(ConfigStore &store, std::vector<config::Change> changes,
@@ -106,13 +106,13 @@
                                                                 std::optional<std::uint64_t> expected,
                                                                 std::uint32_t schemaVersionOfAll)
 {
-    return runWriter(store, never, schemaVersionOfAll,
+    return runWriter(store, noSnapshot, schemaVersionOfAll,
                      [&](ConfigWriter &writer, Now now) { writer.apply(std::move(changes), changeId, expected, now); });
 }
 
 void KeyValueSession::compact(ConfigStore &store)
 {
-    (void)runWriter(store, snapshotEvery, 0, [](ConfigWriter &writer, Now now) { writer.compact(now); });
+    (void)runWriter(store, revisionsPerSnapshot, 0, [](ConfigWriter &writer, Now now) { writer.compact(now); });
 }
 
 tl::expected<std::vector<KvEntry>, ConfigError> KeyValueSession::range(const std::string &key,
@@ -132,7 +132,7 @@
             break;
         }
     }
-    return tl::unexpected(timedOut(false));
+    return tl::unexpected(makeTimeoutError(false));
 }
 
 } // namespace anvilscale
--- a/src/ctl/output.cpp
+++ b/src/ctl/output.cpp
@@ -1,4 +1,4 @@
-// Results of commands as JSON and as text.
+// Formats command results and errors as JSON and text.
 #include "command.h"
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 namespace anvilscale {
 
 namespace {
-CtlExit exitOf(ConfigErrorKind kind)
+CtlExit exitForError(ConfigErrorKind kind)
 {
     switch (kind) {
     case ConfigErrorKind::Conflict:
@@ -22,8 +22,8 @@
 }
 } // namespace
 
-CtlResult failure(CtlExit exit, const std::string &kind, const std::string &path, const std::string &detail,
-                  std::uint64_t revision)
+CtlResult makeFailure(CtlExit exit, const std::string &kind, const std::string &path, const std::string &detail,
+                      std::uint64_t revision)
 {
     CtlResult result;
     result.exit = exit;
@@ -43,12 +43,13 @@
     return result;
 }
 
-CtlResult failure(const ConfigError &error)
+CtlResult makeFailure(const ConfigError &error)
 {
-    return failure(exitOf(error.kind), std::string(toString(error.kind)), error.path, error.detail, error.revision);
+    return makeFailure(exitForError(error.kind), std::string(toString(error.kind)), error.path, error.detail,
+                       error.revision);
 }
 
-std::string table(const std::vector<std::vector<std::string>> &rows)
+std::string formatTable(const std::vector<std::vector<std::string>> &rows)
 {
     std::vector<std::size_t> widths;
     for (const auto &row : rows) {
@@ -57,13 +58,13 @@
             widths[i] = std::max(widths[i], row[i].size());
         }
     }
-    constexpr std::size_t gap = 2;
+    constexpr std::size_t columnGap = 2;
     std::string text;
     for (const auto &row : rows) {
         for (std::size_t i = 0; i < row.size(); ++i) {
             text += row[i];
             if (i + 1 < row.size()) {
-                text.append(widths[i] - row[i].size() + gap, ' ');
+                text.append(widths[i] - row[i].size() + columnGap, ' ');
             }
         }
         text += "\n";
--- a/src/ctl/process_client.cpp
+++ b/src/ctl/process_client.cpp
@@ -1,4 +1,4 @@
-// Status questions and drain orders to processes over ZeroMQ.
+// Sends status requests and drain orders to processes over ZeroMQ.
 #include "process_client.h"
 
 #include "key_value_session.h"
@@ -15,9 +15,9 @@
 namespace anvilscale {
 
 namespace {
-constexpr long longestPollMs = 100;
+constexpr long maxPollMs = 100;
 
-std::string identity()
+std::string makeIdentity()
 {
     return "anvilctl/" + std::to_string(randomSeed());
 }
@@ -25,7 +25,7 @@
 zmq::socket_t connectTo(zmq::context_t &context, const std::string &address, int lingerMs)
 {
     zmq::socket_t socket(context, zmq::socket_type::dealer);
-    socket.set(zmq::sockopt::routing_id, identity());
+    socket.set(zmq::sockopt::routing_id, makeIdentity());
     socket.set(zmq::sockopt::linger, lingerMs);
     socket.connect("tcp://" + address);
     return socket;
@@ -38,24 +38,24 @@
     socket.send(zmq::buffer(message.SerializeAsString()), zmq::send_flags::dontwait);
 }
 
-struct Conversation
+struct PendingRequest
 {
     ProcessAnswer &answer;
     zmq::socket_t socket;
 };
 
-/// Takes what has come; true once the status is there. Other messages (heartbeats) may come before it.
-bool receive(Conversation &conversation)
+/// Reads pending messages. Returns true once the status reply was received; other messages (heartbeats) are skipped.
+bool receive(PendingRequest &request)
 {
     zmq::message_t data;
-    while (conversation.socket.recv(data, zmq::recv_flags::dontwait)) {
+    while (request.socket.recv(data, zmq::recv_flags::dontwait)) {
         wire::Envelope message;
         if (!message.ParseFromArray(data.data(), static_cast<int>(data.size())) || !message.has_status_reply()) {
             continue;
         }
         const auto &reply = message.status_reply();
-        ProcessAnswer &answer = conversation.answer;
-        answer.answered = true;
+        ProcessAnswer &answer = request.answer;
+        answer.hasAnswered = true;
         answer.name = reply.from().name();
         answer.incarnation = reply.from().incarnation();
         try {
@@ -69,15 +69,15 @@
     return false;
 }
 
-void wait(std::list<Conversation> &open, TimePoint until)
+void pollReplies(std::list<PendingRequest> &pending, TimePoint deadline)
 {
     std::vector<zmq::pollitem_t> items;
-    for (auto &conversation : open) {
-        items.push_back({conversation.socket.handle(), 0, ZMQ_POLLIN, 0});
+    for (auto &request : pending) {
+        items.push_back({request.socket.handle(), 0, ZMQ_POLLIN, 0});
     }
-    const auto left = std::chrono::duration_cast<Milliseconds>(until - clocksNow().mono).count();
-    zmq::poll(items, Milliseconds(std::clamp<Milliseconds::rep>(left, 0, longestPollMs)));
-    open.remove_if([](Conversation &conversation) { return receive(conversation); });
+    const auto remaining = std::chrono::duration_cast<Milliseconds>(deadline - currentTime().mono).count();
+    zmq::poll(items, Milliseconds(std::clamp<Milliseconds::rep>(remaining, 0, maxPollMs)));
+    pending.remove_if([](PendingRequest &request) { return receive(request); });
 }
 } // namespace
 
@@ -104,27 +104,27 @@
     return text(field) == "true";
 }
 
-std::vector<ProcessAnswer> askProcesses(const std::vector<VmInfo> &vms, const std::string &what,
-                                        const std::string &argument, Duration timeout)
+std::vector<ProcessAnswer> queryProcesses(const std::vector<VmInfo> &vms, const std::string &topic,
+                                          const std::string &argument, Duration timeout)
 {
     std::vector<ProcessAnswer> answers(vms.size());
     zmq::context_t context(1);
-    std::list<Conversation> open;
+    std::list<PendingRequest> pending;
     wire::Envelope message;
-    message.mutable_status_request()->set_what(what);
+    message.mutable_status_request()->set_what(topic);
     message.mutable_status_request()->set_argument(argument);
     for (std::size_t i = 0; i < vms.size(); ++i) {
         answers[i].vm = vms[i];
         try {
-            open.push_back({answers[i], connectTo(context, vms[i].address, 0)});
-            send(open.back().socket, message);
+            pending.push_back({answers[i], connectTo(context, vms[i].address, 0)});
+            send(pending.back().socket, message);
         } catch (const zmq::error_t &) {
-            open.pop_back(); // an address that cannot be used: no answer
+            pending.pop_back(); // unusable address, reported as no answer
         }
     }
-    const TimePoint until = clocksNow().mono + timeout;
-    while (!open.empty() && clocksNow().mono < until) {
-        wait(open, until);
+    const TimePoint deadline = currentTime().mono + timeout;
+    while (!pending.empty() && currentTime().mono < deadline) {
+        pollReplies(pending, deadline);
     }
     return answers;
 }
--- a/src/ctl/record_files.cpp
+++ b/src/ctl/record_files.cpp
@@ -1,4 +1,4 @@
-// Reads records from files without changing a byte of them: what is kept must be what the operator wrote.
+// Reads records from files and preserves their bytes, since the stored record must match the file.
 #include "anvilscale/ctl.h"
 
 #include <algorithm>
@@ -11,39 +11,39 @@
 namespace {
 namespace fs = std::filesystem;
 
-/// End of the object that begins at `from`, past its closing brace; npos if it has none.
-std::size_t objectEnd(std::string_view text, std::size_t from)
+/// Offset after the closing brace of the object that starts at `from`; npos if it is not closed.
+std::size_t findObjectEnd(std::string_view text, std::size_t from)
 {
     int depth = 0;
-    bool inString = false;
-    for (std::size_t at = from; at < text.size(); ++at) {
-        const char c = text[at];
-        if (inString) {
+    bool isInString = false;
+    for (std::size_t position = from; position < text.size(); ++position) {
+        const char c = text[position];
+        if (isInString) {
             if (c == '\\') {
-                ++at;
+                ++position;
             } else if (c == '"') {
-                inString = false;
+                isInString = false;
             }
             continue;
         }
         if (c == '"') {
-            inString = true;
+            isInString = true;
         } else if (c == '{') {
             ++depth;
         } else if (c == '}' && --depth == 0) {
-            return at + 1;
+            return position + 1;
         }
     }
     return std::string_view::npos;
 }
 
-std::string place(const std::string &source, std::string_view text, std::size_t at)
+std::string location(const std::string &source, std::string_view text, std::size_t position)
 {
-    const auto line = 1 + std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(at), '\n');
+    const auto line = 1 + std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(position), '\n');
     return source + ":" + std::to_string(line);
 }
 
-bool between(char c)
+bool isSeparator(char c)
 {
     return c == ' ' || c == '\t' || c == '\r' || c == '\n' || c == ',' || c == '[' || c == ']';
 }
@@ -55,17 +55,18 @@
         files.push_back(path);
         return {};
     }
-    std::vector<std::string> found;
-    for (auto at = fs::directory_iterator(path, error); !error && at != fs::directory_iterator(); at.increment(error)) {
-        if (at->path().extension() == ".json") {
-            found.push_back(at->path().string());
+    std::vector<std::string> jsonFiles;
+    for (auto entry = fs::directory_iterator(path, error); !error && entry != fs::directory_iterator();
+         entry.increment(error)) {
+        if (entry->path().extension() == ".json") {
+            jsonFiles.push_back(entry->path().string());
         }
     }
     if (error) {
         return tl::unexpected(RecordFileError{path, error.message()});
     }
-    std::sort(found.begin(), found.end());
-    files.insert(files.end(), found.begin(), found.end());
+    std::sort(jsonFiles.begin(), jsonFiles.end());
+    files.insert(files.end(), jsonFiles.begin(), jsonFiles.end());
     return {};
 }
 } // namespace
@@ -73,21 +74,23 @@
 tl::expected<std::vector<RecordText>, RecordFileError> splitRecords(const std::string &source, std::string_view text)
 {
     std::vector<RecordText> records;
-    std::size_t at = 0;
-    while (at < text.size()) {
-        if (between(text[at])) {
-            ++at;
+    std::size_t position = 0;
+    while (position < text.size()) {
+        if (isSeparator(text[position])) {
+            ++position;
             continue;
         }
-        if (text[at] != '{') {
-            return tl::unexpected(RecordFileError{place(source, text, at), "a record begins with '{'"});
+        if (text[position] != '{') {
+            return tl::unexpected(
+                RecordFileError{location(source, text, position), "expected '{' at the start of a record"});
         }
-        const auto end = objectEnd(text, at);
+        const auto end = findObjectEnd(text, position);
         if (end == std::string_view::npos) {
-            return tl::unexpected(RecordFileError{place(source, text, at), "the record has no end"});
+            return tl::unexpected(
+                RecordFileError{location(source, text, position), "missing '}' at the end of the record"});
         }
-        records.push_back({place(source, text, at), std::string(text.substr(at, end - at))});
-        at = end;
+        records.push_back({location(source, text, position), std::string(text.substr(position, end - position))});
+        position = end;
     }
     return records;
 }
@@ -102,10 +105,10 @@
     }
     std::vector<RecordText> records;
     for (const auto &file : files) {
-        std::ifstream in(file, std::ios::binary);
-        const std::string text{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
-        if (!in) {
-            return tl::unexpected(RecordFileError{file, "cannot be read"});
+        std::ifstream stream(file, std::ios::binary);
+        const std::string text{std::istreambuf_iterator<char>(stream), std::istreambuf_iterator<char>()};
+        if (!stream) {
+            return tl::unexpected(RecordFileError{file, "cannot read the file"});
         }
         auto split = splitRecords(file, text);
         if (!split) {
--- a/tests/unit/examples_test.cpp
+++ b/tests/unit/examples_test.cpp
@@ -1,4 +1,4 @@
-// The settings and records under examples/ are what operators start from: all of them must be valid.
+// Checks that all settings and records under examples/ are valid.
 #include "config.pb.h"
 
 #include "anvilscale/ctl.h"
@@ -30,7 +30,7 @@
 {
 };
 
-ConfigStore &load(const std::string &folder, ConfigStore &store)
+ConfigStore &loadRecords(const std::string &folder, ConfigStore &store)
 {
     config::Delta delta;
     delta.set_revision(1);
@@ -54,7 +54,7 @@
 }
 } // namespace
 
-TEST_P(Examples, settingsAreValidAndUnique)
+TEST_P(Examples, settingsAreValidWithUniqueNames)
 {
     std::set<std::string> names;
     std::set<std::string> dataCentres;
@@ -69,10 +69,10 @@
     EXPECT_EQ(dataCentres.size(), GetParam().dataCentres);
 }
 
-TEST_P(Examples, recordsOfBothSchemaVersionsMakeOneConfiguration)
+TEST_P(Examples, recordsOfBothSchemaVersionsFormOneConfiguration)
 {
     ConfigStore store;
-    load("examples/" + GetParam().folder + "/records", store);
+    loadRecords("examples/" + GetParam().folder + "/records", store);
     std::set<bool> versions;
     std::size_t routes = 0;
     for (const auto &record : store.records()) {
--- a/tests/unit/standins_test.cpp
+++ b/tests/unit/standins_test.cpp
@@ -1,5 +1,4 @@
-// The stand-ins themselves: a test that trusts them must be able to see a wrong adapter, a double run and an eviction
-// under a call.
+// Tests of the stand-ins: they must detect a wrong adapter, a duplicate execution and an eviction during a call.
 #include "standins/expected_answer.h"
 #include "support/standin_process.h"
 
@@ -9,67 +8,69 @@
 using anvilscale::testing::StandinProcess;
 
 namespace {
-std::string lora(const std::string &name)
+std::string loraRequest(const std::string &name)
 {
     return R"({"lora_name":")" + name + R"(","lora_path":"/w"})";
 }
 
-std::string completion(const std::string &model, const std::string &prompt, bool stream = false)
+std::string completionRequest(const std::string &model, const std::string &prompt, bool stream = false)
 {
     return R"({"model":")" + model + R"(","prompt":")" + prompt + R"(","max_tokens":5,"stream":)"
            + (stream ? "true}" : "false}");
 }
 } // namespace
 
-TEST(EngineStandin, answersNameAdapterAndPrompt)
+TEST(EngineStandin, answerDependsOnAdapterAndPrompt)
 {
     const StandinProcess engine("engine");
-    EXPECT_EQ(http(engine.port(), "POST", "/v1/completions", completion("a@1", "p")).status, 404);
-    EXPECT_EQ(http(engine.port(), "POST", "/v1/load_lora_adapter", lora("a@1")).status, 200);
-    const auto reply = http(engine.port(), "POST", "/v1/completions", completion("a@1", "p"));
+    EXPECT_EQ(http(engine.port(), "POST", "/v1/completions", completionRequest("a@1", "p")).status, 404);
+    EXPECT_EQ(http(engine.port(), "POST", "/v1/load_lora_adapter", loraRequest("a@1")).status, 200);
+    const auto reply = http(engine.port(), "POST", "/v1/completions", completionRequest("a@1", "p"));
     const auto text = reply.json()->getArray("choices")->getObject(0)->getValue<std::string>("text");
     EXPECT_EQ(text, standins::expectedAnswer("a@1", "p", 5));
     EXPECT_NE(text, standins::expectedAnswer("a@2", "p", 5));
-    const auto stream = http(engine.port(), "POST", "/v1/completions", completion("a@1", "p", true)).body;
+    const auto stream = http(engine.port(), "POST", "/v1/completions", completionRequest("a@1", "p", true)).body;
     EXPECT_EQ(stream.substr(stream.size() - 14), "data: [DONE]\n\n");
 }
 
-TEST(EngineStandin, slotsAreFewAndRestartLosesThem)
+TEST(EngineStandin, limitsSlotsAndLosesAdaptersOnRestart)
 {
     const StandinProcess engine("engine", {"--slots", "1"});
-    EXPECT_EQ(http(engine.port(), "POST", "/v1/load_lora_adapter", lora("a@1")).status, 200);
-    EXPECT_EQ(http(engine.port(), "POST", "/v1/load_lora_adapter", lora("b@1")).status, 400);
-    const auto before = http(engine.port(), "GET", "/metrics").body;
+    EXPECT_EQ(http(engine.port(), "POST", "/v1/load_lora_adapter", loraRequest("a@1")).status, 200);
+    EXPECT_EQ(http(engine.port(), "POST", "/v1/load_lora_adapter", loraRequest("b@1")).status, 400);
+    const auto metricsBefore = http(engine.port(), "GET", "/metrics").body;
     engine.control("{}", "/standin/restart");
-    EXPECT_NE(http(engine.port(), "GET", "/metrics").body, before);
-    EXPECT_EQ(http(engine.port(), "POST", "/v1/load_lora_adapter", lora("b@1")).status, 200);
+    EXPECT_NE(http(engine.port(), "GET", "/metrics").body, metricsBefore);
+    EXPECT_EQ(http(engine.port(), "POST", "/v1/load_lora_adapter", loraRequest("b@1")).status, 200);
 }
 
-TEST(EngineStandin, checksFencingOnlyWhenTold)
+TEST(EngineStandin, checksFencingOnlyWhenEnabled)
 {
     const StandinProcess checking("engine", {"--fencing", "check"});
     const StandinProcess ignoring("engine", {"--fencing", "ignore"});
     for (const auto *engine : {&checking, &ignoring}) {
-        http(engine->port(), "POST", "/v1/unload_lora_adapter", lora("anvilscale-fence"), {{"X-Fencing-Token", "7"}});
-        const auto old = http(engine->port(), "POST", "/v1/load_lora_adapter", lora("a@1"), {{"X-Fencing-Token", "6"}});
-        EXPECT_EQ(old.status, engine == &checking ? 412 : 200);
+        http(engine->port(), "POST", "/v1/unload_lora_adapter", loraRequest("anvilscale-fence"),
+             {{"X-Fencing-Token", "7"}});
+        const auto staleLoad =
+            http(engine->port(), "POST", "/v1/load_lora_adapter", loraRequest("a@1"), {{"X-Fencing-Token", "6"}});
+        EXPECT_EQ(staleLoad.status, engine == &checking ? 412 : 200);
     }
 }
 
-TEST(EngineStandin, countsAnEvictionUnderACall)
+TEST(EngineStandin, countsEvictionDuringCall)
 {
     const StandinProcess engine("engine", {"--step-us", "20000"});
-    http(engine.port(), "POST", "/v1/load_lora_adapter", lora("a@1"));
-    std::thread call([&] { http(engine.port(), "POST", "/v1/completions", completion("a@1", "p")); });
+    http(engine.port(), "POST", "/v1/load_lora_adapter", loraRequest("a@1"));
+    std::thread call([&] { http(engine.port(), "POST", "/v1/completions", completionRequest("a@1", "p")); });
     while (engine.control("{}")->getValue<int>("running") == 0) {
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
-    http(engine.port(), "POST", "/v1/unload_lora_adapter", lora("a@1"));
+    http(engine.port(), "POST", "/v1/unload_lora_adapter", loraRequest("a@1"));
     call.join();
     EXPECT_EQ(engine.control("{}", "/standin/record")->getValue<int>("evictionsUnderCall"), 1);
 }
 
-TEST(ServiceStandin, countsDoubleRuns)
+TEST(ServiceStandin, countsDuplicateExecutions)
 {
     const StandinProcess service("service");
     for (const char *key : {"k1", "k2", "k1"}) {
@@ -83,6 +84,6 @@
     const StandinProcess store("weight-store", {"--rate", "1000"});
     const StandinProcess engine("engine", {"--weight-store", store.url()});
     store.control(R"({"failNext":1})");
-    EXPECT_EQ(http(engine.port(), "POST", "/v1/load_lora_adapter", lora("a@1")).status, 500);
-    EXPECT_EQ(http(engine.port(), "POST", "/v1/load_lora_adapter", lora("a@1")).status, 200);
+    EXPECT_EQ(http(engine.port(), "POST", "/v1/load_lora_adapter", loraRequest("a@1")).status, 500);
+    EXPECT_EQ(http(engine.port(), "POST", "/v1/load_lora_adapter", loraRequest("a@1")).status, 200);
 }
--- a/tools/anvilctl.cpp
+++ b/tools/anvilctl.cpp
@@ -1,4 +1,4 @@
-// anvilctl: the operators' tool.
+// anvilctl: command-line tool for operators.
 #include "anvilscale/ctl.h"
 
 #include <iostream>
--- a/tools/anvilscaled.cpp
+++ b/tools/anvilscaled.cpp
@@ -1,4 +1,4 @@
-// anvilscaled: the daemon of both roles. Reads its settings, checks them whole and runs until it has drained.
+// anvilscaled: daemon for all roles. Reads and validates its settings and runs until drained.
 #include "anvilscale/daemon.h"
 #include "anvilscale/settings.h"
 
@@ -10,13 +10,13 @@
 
 constexpr std::string_view version = "0.1.0";
 
-int reportSettingsError(const anvilscale::SettingsError &error)
+int printSettingsError(const anvilscale::SettingsError &error)
 {
     std::cerr << "anvilscaled: " << toString(error.kind) << ": " << error.path << ": " << error.detail << "\n";
     return anvilscale::exitRejected;
 }
 
-int run(const cxxopts::ParseResult &options)
+int runWithOptions(const cxxopts::ParseResult &options)
 {
     if (options.count("version") != 0) {
         std::cout << "anvilscaled " << version << "\n";
@@ -32,19 +32,19 @@
         return anvilscale::exitDone;
     }
     if (options.count("settings") == 0) {
-        std::cerr << "anvilscaled: --settings FILE is missing; --help tells more\n";
+        std::cerr << "anvilscaled: --settings FILE is missing; see --help\n";
         return anvilscale::exitUsage;
     }
-    const auto file = options["settings"].as<std::string>();
-    const auto settings = anvilscale::readSettings(file);
+    const auto settingsPath = options["settings"].as<std::string>();
+    const auto settings = anvilscale::readSettings(settingsPath);
     if (!settings) {
-        return reportSettingsError(settings.error());
+        return printSettingsError(settings.error());
     }
     if (options.count("check") != 0) {
         std::cout << "the settings are valid\n";
         return anvilscale::exitDone;
     }
-    return anvilscale::runDaemon(*settings, file);
+    return anvilscale::runDaemon(*settings, settingsPath);
 }
 
 } // namespace
@@ -57,12 +57,12 @@
                                                 cxxopts::value<std::string>(),
                                                 "ROLE")("version", "print the version")("help", "print this");
     try {
-        const auto parsed = options.parse(argc, argv);
-        if (parsed.count("help") != 0) {
+        const auto parsedOptions = options.parse(argc, argv);
+        if (parsedOptions.count("help") != 0) {
             std::cout << options.help() << "exit codes: 0 done, 1 wrong usage, 2 settings or an address rejected\n";
             return anvilscale::exitDone;
         }
-        return run(parsed);
+        return runWithOptions(parsedOptions);
     } catch (const cxxopts::exceptions::exception &error) {
         std::cerr << "anvilscaled: " << error.what() << "\n";
         return anvilscale::exitUsage;
