--- a/bench/decisionbench.cpp
+++ b/bench/decisionbench.cpp
@@ -1,4 +1,4 @@
-// Processor time of one decision, at several numbers of adapters and sidecars.
+// Benchmarks of the CPU time per decision for several numbers of adapters and sidecars.
 #include "config.pb.h"
 
 #include "anvilscale/routing.h"
@@ -10,10 +10,10 @@
 using namespace anvilscale;
 
 constexpr std::uint32_t slots = 8;
-constexpr std::uint32_t demandingEvery = 100;
-constexpr std::uint32_t distinctCallers = 1 << 14;
+constexpr std::uint32_t sidecarsPerDemand = 100;
+constexpr std::uint32_t requestCount = 1 << 14;
 
-void add(config::Delta &delta, const char *kind, const std::string &name, const std::string &body)
+void addRecord(config::Delta &delta, const char *kind, const std::string &name, const std::string &body)
 {
     auto &change = *delta.add_changes();
     change.set_kind(kind);
@@ -26,22 +26,22 @@
     return "adapter-" + std::to_string(number);
 }
 
-void fill(ConfigStore &store, std::uint32_t adapters)
+void fillConfig(ConfigStore &store, std::uint32_t adapters)
 {
     config::Delta delta;
     delta.set_revision(1);
     delta.set_change_id("bench");
     for (std::uint32_t i = 0; i < adapters; ++i) {
         const auto name = adapterName(i);
-        add(delta, "adapter", name, R"("adapter":{"baseModel":"base","versions":[{"name":"1","weights":"w"}]})");
-        add(delta, "route", name, R"("route":{"adapter":")" + name + R"(","version":"1"})");
+        addRecord(delta, "adapter", name, R"("adapter":{"baseModel":"base","versions":[{"name":"1","weights":"w"}]})");
+        addRecord(delta, "route", name, R"("route":{"adapter":")" + name + R"(","version":"1"})");
     }
     if (!store.apply(delta)) {
         std::abort();
     }
 }
 
-wire::Envelope report(std::uint32_t sidecar, std::uint32_t sidecars, std::uint64_t sequence, bool full)
+wire::Envelope makeHeartbeat(std::uint32_t sidecar, std::uint32_t sidecars, std::uint64_t sequence, bool isFull)
 {
     wire::Envelope message;
     message.set_protocol(wireProtocol);
@@ -50,15 +50,15 @@
     out.mutable_from()->set_incarnation(1);
     out.set_data_centre("hall-east");
     out.set_base_model("base");
-    out.set_full(full);
+    out.set_full(isFull);
     out.set_admitting(true);
     out.set_sequence(sequence);
     out.set_slots(slots);
     out.set_batch_limit(16);
     out.set_running(8);
-    for (std::uint32_t slot = 0; slot < (full ? slots : 1); ++slot) {
+    for (std::uint32_t slot = 0; slot < (isFull ? slots : 1); ++slot) {
         auto &adapter = *out.add_adapters();
-        // One adapter in eight is held by every sidecar, the others by one.
+        // The first slot holds the same adapter on every sidecar, the others hold unique ones.
         adapter.set_adapter(adapterName(slot == 0 ? 0 : sidecar + slot * sidecars));
         adapter.set_version("1");
         adapter.set_state(static_cast<std::uint32_t>(ResidencyState::Resident));
@@ -66,16 +66,16 @@
     return message;
 }
 
-struct Bench
+struct EntryFixture
 {
     ConfigStore store;
     TimerService timers;
     Now now{TimePoint(Seconds(1000)), WallTime{}};
     std::unique_ptr<EntryDecisions> entry;
 
-    Bench(std::uint32_t adapters, std::uint32_t sidecars)
+    EntryFixture(std::uint32_t adapters, std::uint32_t sidecars)
     {
-        fill(store, adapters);
+        fillConfig(store, adapters);
         EntryInit init;
         init.name = "entry";
         init.incarnation = 1;
@@ -84,88 +84,89 @@
         init.timers = &timers;
         entry = std::make_unique<EntryDecisions>(init);
         for (std::uint32_t i = 0; i < sidecars; ++i) {
-            entry->onMessage("sidecar-" + std::to_string(i), report(i, sidecars, 1, true), now);
+            entry->onMessage("sidecar-" + std::to_string(i), makeHeartbeat(i, sidecars, 1, true), now);
         }
         entry->takeActions();
     }
 };
 
-/// One call from its arrival to the message for the sidecar, and its end; range: adapters, sidecars, kind of adapter.
-void call(benchmark::State &state, bool cold)
+/// Processes one call from its arrival to the message for the sidecar. Range: adapters, sidecars.
+void runCalls(benchmark::State &state, bool isCold)
 {
-    Bench bench(static_cast<std::uint32_t>(state.range(0)), static_cast<std::uint32_t>(state.range(1)));
-    const auto resident = static_cast<std::uint64_t>(state.range(1)) * slots;
+    EntryFixture fixture(static_cast<std::uint32_t>(state.range(0)), static_cast<std::uint32_t>(state.range(1)));
+    const auto residentAdapters = static_cast<std::uint64_t>(state.range(1)) * slots;
     const auto adapters = static_cast<std::uint64_t>(state.range(0));
     Random random(1);
     std::vector<std::string> routes;
-    for (std::uint32_t i = 0; i < distinctCallers; ++i) {
-        const auto number = cold ? resident + random.below(adapters - resident) : random.below(resident);
+    for (std::uint32_t i = 0; i < requestCount; ++i) {
+        const auto number =
+            isCold ? residentAdapters + random.below(adapters - residentAdapters) : random.below(residentAdapters);
         routes.push_back(adapterName(number));
     }
     std::uint64_t handle = 0;
     for (auto _ : state) {
         CallerRequest request;
-        request.route = routes[++handle % distinctCallers];
+        request.route = routes[++handle % requestCount];
         request.method = "POST";
-        bench.entry->onCall(CallHandle{handle}, std::move(request), bench.now);
-        benchmark::DoNotOptimize(bench.entry->takeActions());
+        fixture.entry->onCall(CallHandle{handle}, std::move(request), fixture.now);
+        benchmark::DoNotOptimize(fixture.entry->takeActions());
         state.PauseTiming();
-        bench.entry->onCallerGone(CallHandle{handle}, FailureReason::CallerGone, bench.now);
-        bench.entry->takeActions();
-        bench.now.mono += Milliseconds(1);
+        fixture.entry->onCallerGone(CallHandle{handle}, FailureReason::CallerGone, fixture.now);
+        fixture.entry->takeActions();
+        fixture.now.mono += Milliseconds(1);
         state.ResumeTiming();
     }
 }
 
 void residentCall(benchmark::State &state)
 {
-    call(state, false);
+    runCalls(state, false);
 }
 
 void coldCall(benchmark::State &state)
 {
-    call(state, true);
+    runCalls(state, true);
 }
 
-/// The choice alone, as `anvilctl explain` asks for it: resolution and placement.
+/// Resolution and placement only, as for `anvilctl explain`.
 void choiceOnly(benchmark::State &state)
 {
-    Bench bench(static_cast<std::uint32_t>(state.range(0)), static_cast<std::uint32_t>(state.range(1)));
-    const auto resident = static_cast<std::uint64_t>(state.range(1)) * slots;
+    EntryFixture fixture(static_cast<std::uint32_t>(state.range(0)), static_cast<std::uint32_t>(state.range(1)));
+    const auto residentAdapters = static_cast<std::uint64_t>(state.range(1)) * slots;
     std::uint64_t number = 0;
     for (auto _ : state) {
-        benchmark::DoNotOptimize(bench.entry->explain(adapterName(resident + ++number % 1000), bench.now));
+        benchmark::DoNotOptimize(fixture.entry->explain(adapterName(residentAdapters + ++number % 1000), fixture.now));
     }
 }
 
 void heartbeat(benchmark::State &state)
 {
     const auto sidecars = static_cast<std::uint32_t>(state.range(1));
-    Bench bench(static_cast<std::uint32_t>(state.range(0)), sidecars);
+    EntryFixture fixture(static_cast<std::uint32_t>(state.range(0)), sidecars);
     std::uint64_t sequence = 1;
     std::uint32_t sidecar = 0;
-    std::vector<wire::Envelope> reports;
+    std::vector<wire::Envelope> heartbeats;
     for (std::uint32_t i = 0; i < sidecars; ++i) {
-        reports.push_back(report(i, sidecars, 1, false));
+        heartbeats.push_back(makeHeartbeat(i, sidecars, 1, false));
     }
     for (auto _ : state) {
         if (sidecar == 0) {
             ++sequence;
         }
-        auto &message = reports[sidecar];
+        auto &message = heartbeats[sidecar];
         message.mutable_heartbeat()->set_sequence(sequence);
-        bench.entry->onMessage(message.heartbeat().from().name(), message, bench.now);
+        fixture.entry->onMessage(message.heartbeat().from().name(), message, fixture.now);
         sidecar = (sidecar + 1) % sidecars;
     }
 }
 
-/// A heartbeat with demands at the load scheduler, which looks for the best load.
+/// Heartbeats at the load scheduler, some with a demand, including the choice of the next load.
 void schedulerHeartbeat(benchmark::State &state)
 {
     const auto sidecars = static_cast<std::uint32_t>(state.range(1));
     ConfigStore store;
     TimerService timers;
-    fill(store, 10);
+    fillConfig(store, 10);
     LoadScheduler::Init init;
     init.name = "entry";
     init.config = &store;
@@ -178,9 +179,9 @@
     for (auto _ : state) {
         state.PauseTiming();
         sequence += sidecar == 0 ? 1 : 0;
-        auto message = report(sidecar, sidecars, sequence, sequence == 1);
-        // At the store's rate few sidecars wait at any one time: one in a hundred here.
-        if (sidecar % demandingEvery == 0) {
+        auto message = makeHeartbeat(sidecar, sidecars, sequence, sequence == 1);
+        // Only a few sidecars wait for a load at any time.
+        if (sidecar % sidecarsPerDemand == 0) {
             auto &demand = *message.mutable_heartbeat()->add_demands();
             demand.set_adapter(adapterName(1000 + sidecar));
             demand.set_version("1");
@@ -195,7 +196,7 @@
     }
 }
 
-void sizes(benchmark::internal::Benchmark *bench)
+void addSizes(benchmark::internal::Benchmark *bench)
 {
     for (const int adapters : {3'000, 20'000, 140'000}) {
         for (const int sidecars : {18, 180}) {
@@ -204,9 +205,9 @@
     }
 }
 
-BENCHMARK(residentCall)->Apply(sizes);
-BENCHMARK(coldCall)->Apply(sizes);
-BENCHMARK(choiceOnly)->Apply(sizes);
+BENCHMARK(residentCall)->Apply(addSizes);
+BENCHMARK(coldCall)->Apply(addSizes);
+BENCHMARK(choiceOnly)->Apply(addSizes);
 BENCHMARK(heartbeat)->Args({140'000, 180});
 BENCHMARK(schedulerHeartbeat)->Args({140'000, 180})->Args({140'000, 3'900});
 
--- a/bench/pathbench.cpp
+++ b/bench/pathbench.cpp
@@ -1,5 +1,5 @@
-// What entry and sidecar add to a call: non-streamed calls through both, and the same calls made directly on the
-// engine stand-in, in turn in one run. Starts its own processes and ends them by their pids.
+// Benchmark of the latency that entry and sidecar add to non-streamed calls, against calls made directly to the engine
+// stand-in.
 //   build/bench/pathbench [--json] [--callers 1,32,256] [--seconds 4] [--build build]
 #include "anvilscale/base.h"
 
@@ -32,24 +32,24 @@
 using std::chrono::duration_cast;
 using std::chrono::microseconds;
 
-constexpr auto startBound = std::chrono::seconds(30);
-constexpr auto pollStep = std::chrono::milliseconds(20);
-constexpr unsigned engineBatch = 512; // so that the stand-in never makes a call wait for another
-constexpr unsigned warmCalls = 50; // of each caller, not counted
-constexpr unsigned rounds = 4; // direct and through the path take turns, so that both see the same machine
+constexpr auto startTimeout = std::chrono::seconds(30);
+constexpr auto pollInterval = std::chrono::milliseconds(20);
+constexpr unsigned engineBatchLimit = 512; // keeps the stand-in from queueing calls
+constexpr unsigned warmUpCalls = 50; // per caller, not measured
+constexpr unsigned rounds = 4; // direct and path measurements alternate, so that both see the same machine load
 
 struct Options
 {
-    bool json = false;
+    bool isJson = false;
     std::vector<unsigned> callers{1, 32, 256};
-    double seconds = 4; // of each measurement
-    std::string build = "build";
+    double measureSeconds = 4; // per measurement
+    std::string buildFolder = "build";
 };
 
-class Child
+class ChildProcess
 {
 public:
-    explicit Child(std::vector<std::string> command)
+    explicit ChildProcess(std::vector<std::string> command)
     {
         std::vector<char *> arguments;
         arguments.reserve(command.size() + 1);
@@ -59,13 +59,13 @@
         arguments.push_back(nullptr);
         pid_ = ::fork();
         if (pid_ == 0) {
-            ::dup2(STDERR_FILENO, STDOUT_FILENO); // the figures have standard output to themselves
+            ::dup2(STDERR_FILENO, STDOUT_FILENO); // reserves standard output for the results
             ::prctl(PR_SET_PDEATHSIG, SIGKILL);
             ::execv(arguments[0], arguments.data());
             ::_exit(127);
         }
     }
-    ~Child()
+    ~ChildProcess()
     {
         if (pid_ < 0) {
             return;
@@ -73,8 +73,8 @@
         ::kill(pid_, SIGKILL);
         ::waitpid(pid_, nullptr, 0);
     }
-    Child(const Child &) = delete;
-    Child &operator=(const Child &) = delete;
+    ChildProcess(const ChildProcess &) = delete;
+    ChildProcess &operator=(const ChildProcess &) = delete;
     void wait()
     {
         ::waitpid(pid_, nullptr, 0);
@@ -86,18 +86,18 @@
 };
 
 template<class Condition>
-void waitFor(const std::string &what, Condition condition)
+void waitUntil(const std::string &what, Condition condition)
 {
-    const auto end = Clock::now() + startBound;
+    const auto end = Clock::now() + startTimeout;
     while (!condition()) {
         if (Clock::now() > end) {
             throw Poco::TimeoutException(what);
         }
-        std::this_thread::sleep_for(pollStep);
+        std::this_thread::sleep_for(pollInterval);
     }
 }
 
-/// One caller: a kept connection and one body, sent again and again.
+/// Caller with a persistent connection that sends the same body repeatedly.
 class Caller
 {
 public:
@@ -133,65 +133,65 @@
 
 struct Samples
 {
-    std::vector<std::int64_t> us;
-    std::uint64_t failed = 0;
+    std::vector<std::int64_t> latenciesUs;
+    std::uint64_t failedCalls = 0;
     double seconds = 0;
 
     void add(const Samples &other)
     {
-        us.insert(us.end(), other.us.begin(), other.us.end());
-        failed += other.failed;
+        latenciesUs.insert(latenciesUs.end(), other.latenciesUs.begin(), other.latenciesUs.end());
+        failedCalls += other.failedCalls;
         seconds += other.seconds;
     }
     std::int64_t quantile(double q) const
     {
-        auto sorted = us;
+        auto sorted = latenciesUs;
         std::sort(sorted.begin(), sorted.end());
         return sorted.empty() ? 0 : sorted[static_cast<std::size_t>(q * static_cast<double>(sorted.size() - 1))];
     }
 };
 
-Samples measure(unsigned port, const std::string &body, unsigned callers, double seconds)
+Samples measureCalls(unsigned port, const std::string &body, unsigned callers, double seconds)
 {
     std::vector<Samples> parts(callers);
     std::vector<std::thread> threads;
-    std::atomic<unsigned> warm = 0;
-    std::atomic<bool> stop = false;
+    std::atomic<unsigned> warmedUp = 0;
+    std::atomic<bool> isStopping = false;
     threads.reserve(callers);
     for (unsigned i = 0; i < callers; ++i) {
         threads.emplace_back([&, i] {
-            auto &part = parts[i];
+            auto &samples = parts[i];
             Caller caller(port, body);
-            const auto one = [&] {
+            const auto callOnce = [&] {
                 try {
                     return caller.call() == Poco::Net::HTTPResponse::HTTP_OK;
                 } catch (const Poco::Exception &) {
                     return false;
                 }
             };
-            for (unsigned call = 0; call < warmCalls; ++call) {
-                one();
+            for (unsigned call = 0; call < warmUpCalls; ++call) {
+                callOnce();
             }
-            ++warm;
-            while (warm < callers) { // all begin together
+            ++warmedUp;
+            while (warmedUp < callers) { // all callers start measuring together
                 std::this_thread::yield();
             }
-            while (!stop) {
+            while (!isStopping) {
                 const auto begin = Clock::now();
-                const bool good = one();
-                const auto took = duration_cast<microseconds>(Clock::now() - begin).count();
-                part.failed += good ? 0 : 1;
-                if (good) {
-                    part.us.push_back(took);
+                const bool isOk = callOnce();
+                const auto elapsed = duration_cast<microseconds>(Clock::now() - begin).count();
+                samples.failedCalls += isOk ? 0 : 1;
+                if (isOk) {
+                    samples.latenciesUs.push_back(elapsed);
                 }
             }
         });
     }
-    while (warm < callers) {
-        std::this_thread::sleep_for(pollStep);
+    while (warmedUp < callers) {
+        std::this_thread::sleep_for(pollInterval);
     }
     std::this_thread::sleep_for(std::chrono::duration<double>(seconds));
-    stop = true;
+    isStopping = true;
     for (auto &thread : threads) {
         thread.join();
     }
@@ -203,35 +203,35 @@
     return all;
 }
 
-/// The processes of the path: stand-ins, one sidecar, one entry.
-class Path
+/// Processes under test: stand-ins, one sidecar and one entry.
+class TestDeployment
 {
 public:
-    explicit Path(std::string build)
-        : build_(std::move(build))
+    explicit TestDeployment(std::string buildFolder)
+        : buildFolder_(std::move(buildFolder))
     {
-        auto pattern = (std::filesystem::temp_directory_path() / "pathbench-XXXXXX").string();
-        folder_ = ::mkdtemp(pattern.data());
-        standin("key-value", {});
-        standin("vm-list", {});
-        standin("engine", {"--batch-limit", std::to_string(engineBatch), "--base-model", "base"});
-        const auto batch = std::to_string(engineBatch);
-        daemon("sidecar", R"("sidecar":{"endpointKind":"engine","baseModel":"base","endpointChecksFence":true,)"
-                          R"("batchLimit":)"
-                              + batch + R"(,"endpoint":"http://127.0.0.1:)" + std::to_string(port("engine"))
-                              + R"(","lock":{"port":)" + std::to_string(freePort()) + "}}");
-        daemon("entry", R"("entry":{"schedulerCandidate":true})");
-        publish();
-        configure();
-        waitFor("a first answer", [this] { return Caller(port("entry.http"), body("lounge")).call() == 200; });
+        auto folderPattern = (std::filesystem::temp_directory_path() / "pathbench-XXXXXX").string();
+        folder_ = ::mkdtemp(folderPattern.data());
+        startStandin("key-value", {});
+        startStandin("vm-list", {});
+        startStandin("engine", {"--batch-limit", std::to_string(engineBatchLimit), "--base-model", "base"});
+        const auto batch = std::to_string(engineBatchLimit);
+        startDaemon("sidecar", R"("sidecar":{"endpointKind":"engine","baseModel":"base","endpointChecksFence":true,)"
+                               R"("batchLimit":)"
+                                   + batch + R"(,"endpoint":"http://127.0.0.1:)" + std::to_string(port("engine"))
+                                   + R"(","lock":{"port":)" + std::to_string(freePort()) + "}}");
+        startDaemon("entry", R"("entry":{"schedulerCandidate":true})");
+        publishVmList();
+        applyConfig();
+        waitUntil("a first answer", [this] { return Caller(port("entry.http"), body("lounge")).call() == 200; });
     }
-    ~Path()
+    ~TestDeployment()
     {
         children_.clear();
         std::filesystem::remove_all(folder_);
     }
-    Path(const Path &) = delete;
-    Path &operator=(const Path &) = delete;
+    TestDeployment(const TestDeployment &) = delete;
+    TestDeployment &operator=(const TestDeployment &) = delete;
 
     unsigned port(const std::string &name) const
     {
@@ -253,16 +253,17 @@
     }
     void waitForPort(const std::string &name)
     {
-        waitFor(name, [&] { return port(name) != 0; });
+        waitUntil(name, [&] { return port(name) != 0; });
     }
-    void standin(const std::string &kind, const std::vector<std::string> &more)
+    void startStandin(const std::string &kind, const std::vector<std::string> &extraArguments)
     {
-        std::vector<std::string> command{build_ + "/tests/standins", kind, "--port-file", (folder_ / kind).string()};
-        command.insert(command.end(), more.begin(), more.end());
-        children_.push_back(std::make_unique<Child>(command));
+        std::vector<std::string> command{buildFolder_ + "/tests/standins", kind, "--port-file",
+                                         (folder_ / kind).string()};
+        command.insert(command.end(), extraArguments.begin(), extraArguments.end());
+        children_.push_back(std::make_unique<ChildProcess>(command));
         waitForPort(kind);
     }
-    void daemon(const std::string &role, const std::string &part)
+    void startDaemon(const std::string &role, const std::string &roleSettings)
     {
         const auto file = (folder_ / (role + ".json")).string();
         {
@@ -272,41 +273,42 @@
                 << R"("},"http":{"portFile":")" << (folder_ / (role + ".http")).string()
                 << R"("},"platform":{"keyValue":["http://127.0.0.1:)" << port("key-value")
                 << R"("],"vmList":"http://127.0.0.1:)" << port("vm-list") << R"(/vms","callBudget":100},)"
-                << R"("log":{"level":"error"},)" << part << "}\n";
+                << R"("log":{"level":"error"},)" << roleSettings << "}\n";
         }
-        children_.push_back(
-            std::make_unique<Child>(std::vector<std::string>{build_ + "/bin/anvilscaled", "--settings", file}));
+        children_.push_back(std::make_unique<ChildProcess>(
+            std::vector<std::string>{buildFolder_ + "/bin/anvilscaled", "--settings", file}));
         waitForPort(role + ".control");
         waitForPort(role + ".http");
     }
-    void publish()
+    void publishVmList()
     {
         std::ostringstream list;
-        const char *gap = "";
+        const char *separator = "";
         list << R"({"vms":[)";
         for (const std::string role : {"sidecar", "entry"}) {
-            list << gap << R"({"name":")" << role << R"(-1","role":")" << role
+            list << separator << R"({"name":")" << role << R"(-1","role":")" << role
                  << R"(","state":"live","dataCentre":"hall-east","region":"ub","address":"127.0.0.1:)"
                  << port(role + ".control") << R"("})";
-            gap = ",";
+            separator = ",";
         }
         list << "]}";
         Caller(port("vm-list"), list.str()).send("POST", "/standin");
     }
-    /// By the operators' tool, as they do it.
-    void configure()
+    /// Applies the configuration with anvilctl.
+    void applyConfig()
     {
         const auto adapter =
-            record("adapter.json", R"({"schemaVersion":2,"name":"guest","adapter":{"baseModel":"base",)"
-                                   R"("versions":[{"name":"v1","weights":"/w/guest"}]}})");
-        const auto route = record("route.json", R"({"schemaVersion":2,"name":"lounge","route":{"adapter":"guest",)"
-                                                R"("version":"v1","deadlineMs":60000}})");
+            writeRecord("adapter.json", R"({"schemaVersion":2,"name":"guest","adapter":{"baseModel":"base",)"
+                                        R"("versions":[{"name":"v1","weights":"/w/guest"}]}})");
+        const auto route = writeRecord("route.json", R"({"schemaVersion":2,"name":"lounge","route":{"adapter":"guest",)"
+                                                     R"("version":"v1","deadlineMs":60000}})");
         const auto gateway = "http://127.0.0.1:" + std::to_string(port("key-value"));
-        children_.push_back(std::make_unique<Child>(std::vector<std::string>{
-            build_ + "/bin/anvilctl", "config", "apply", adapter, route, "--key-value", gateway, "--output", "json"}));
+        children_.push_back(std::make_unique<ChildProcess>(
+            std::vector<std::string>{buildFolder_ + "/bin/anvilctl", "config", "apply", adapter, route, "--key-value",
+                                     gateway, "--output", "json"}));
         children_.back()->wait();
     }
-    std::string record(const std::string &name, const std::string &json) const
+    std::string writeRecord(const std::string &name, const std::string &json) const
     {
         auto file = (folder_ / name).string();
         std::ofstream out(file);
@@ -314,29 +316,29 @@
         return file;
     }
 
-    std::string build_;
+    std::string buildFolder_;
     std::filesystem::path folder_;
-    std::vector<std::unique_ptr<Child>> children_;
+    std::vector<std::unique_ptr<ChildProcess>> children_;
 };
 
-struct Row
+struct ResultRow
 {
     unsigned callers = 0;
     Samples direct;
     Samples path;
 };
 
-std::vector<Row> runAll(const Options &options)
+std::vector<ResultRow> runAll(const Options &options)
 {
-    const Path path(options.build);
-    std::vector<Row> rows;
+    const TestDeployment deployment(options.buildFolder);
+    std::vector<ResultRow> rows;
     for (const auto callers : options.callers) {
-        Row row;
+        ResultRow row;
         row.callers = callers;
         for (unsigned round = 0; round < rounds; ++round) {
-            const auto seconds = options.seconds / rounds;
-            row.direct.add(measure(path.port("engine"), Path::body("guest@v1"), callers, seconds));
-            row.path.add(measure(path.port("entry.http"), Path::body("lounge"), callers, seconds));
+            const auto seconds = options.measureSeconds / rounds;
+            row.direct.add(measureCalls(deployment.port("engine"), TestDeployment::body("guest@v1"), callers, seconds));
+            row.path.add(measureCalls(deployment.port("entry.http"), TestDeployment::body("lounge"), callers, seconds));
         }
         rows.push_back(std::move(row));
     }
@@ -348,7 +350,7 @@
     return direct == 0 ? 0 : static_cast<double>(path) / static_cast<double>(direct);
 }
 
-Poco::JSON::Object toJson(const Row &row)
+Poco::JSON::Object toJson(const ResultRow &row)
 {
     Poco::JSON::Object object(Poco::JSON_PRESERVE_KEY_ORDER);
     object.set("callers", row.callers);
@@ -361,14 +363,14 @@
         object.set(quantile + "AddedUs", path - direct);
         object.set(quantile + "Ratio", ratio(path, direct));
     }
-    object.set("directCallsPerSecond", static_cast<double>(row.direct.us.size()) / row.direct.seconds);
-    object.set("pathCallsPerSecond", static_cast<double>(row.path.us.size()) / row.path.seconds);
-    object.set("directFailed", row.direct.failed);
-    object.set("pathFailed", row.path.failed);
+    object.set("directCallsPerSecond", static_cast<double>(row.direct.latenciesUs.size()) / row.direct.seconds);
+    object.set("pathCallsPerSecond", static_cast<double>(row.path.latenciesUs.size()) / row.path.seconds);
+    object.set("directFailed", row.direct.failedCalls);
+    object.set("pathFailed", row.path.failedCalls);
     return object;
 }
 
-void printTable(const std::vector<Row> &rows)
+void printTable(const std::vector<ResultRow> &rows)
 {
     std::cout
         << "| callers | direct p50 us | path p50 us | added p50 us | ratio | direct p99 us | path p99 us | added p99 "
@@ -381,9 +383,9 @@
             const auto path = row.path.quantile(q);
             std::cout << " | " << direct << " | " << path << " | " << path - direct << " | " << ratio(path, direct);
         }
-        std::cout << " | " << static_cast<double>(row.direct.us.size()) / row.direct.seconds << " | "
-                  << static_cast<double>(row.path.us.size()) / row.path.seconds << " | "
-                  << row.direct.failed + row.path.failed << " |\n";
+        std::cout << " | " << static_cast<double>(row.direct.latenciesUs.size()) / row.direct.seconds << " | "
+                  << static_cast<double>(row.path.latenciesUs.size()) / row.path.seconds << " | "
+                  << row.direct.failedCalls + row.path.failedCalls << " |\n";
     }
 }
 
@@ -393,12 +395,12 @@
     for (std::size_t i = 0; i < arguments.size(); ++i) {
         const auto value = i + 1 < arguments.size() ? arguments[i + 1] : std::string();
         if (arguments[i] == "--json") {
-            options.json = true;
+            options.isJson = true;
         } else if (arguments[i] == "--seconds") {
-            options.seconds = std::stod(value);
+            options.measureSeconds = std::stod(value);
             ++i;
         } else if (arguments[i] == "--build") {
-            options.build = value;
+            options.buildFolder = value;
             ++i;
         } else if (arguments[i] == "--callers") {
             options.callers.clear();
@@ -422,7 +424,7 @@
     try {
         const auto options = readOptions({argv + 1, argv + argc});
         const auto rows = runAll(options);
-        if (!options.json) {
+        if (!options.isJson) {
             printTable(rows);
             return 0;
         }
--- a/bench/policybench/bench_config.h
+++ b/bench/policybench/bench_config.h
@@ -1,4 +1,4 @@
-// The operators' records of a bench run, in one ConfigStore that all processes share.
+// Configuration of a policybench run, in one ConfigStore shared by all simulated processes.
 #pragma once
 
 #include "scenario.h"
@@ -7,26 +7,26 @@
 
 namespace anvilscale::bench {
 
-struct PolicyChoice
+struct PolicySettings
 {
     double retryBudget = 0.1;
     Duration cancelDelay = Seconds(10);
     double hedgeQuantile = 0.0;
-    std::uint32_t queueLimit = 0; ///< 0: the default
+    std::uint32_t queueLimit = 0; ///< 0 for the default
 };
 
-/// Ideas against a retry storm, switched one by one.
-struct Ideas
+/// Overload protections that can be switched individually.
+struct OverloadOptions
 {
-    bool retryBudget = true;
-    bool attach = true;
-    bool deferredCancel = true;
-    bool newestFirst = false;
-    bool deadlineRefusal = true;
+    bool isRetryBudgetOn = true;
+    bool attachesRepeats = true;
+    bool defersCancel = true;
+    bool servesNewestFirst = false;
+    bool refusesByDeadline = true;
 };
 
-/// False if the store refused the records.
-bool fillConfig(ConfigStore &store, const Site &site, const PolicyChoice &policy);
+/// Returns false if the store rejected the records.
+bool buildConfig(ConfigStore &store, const DeploymentSpec &spec, const PolicySettings &policy);
 std::string routeName(std::uint32_t adapter);
 constexpr const char *serviceName = "admit";
 constexpr const char *baseModel = "base";
--- a/bench/policybench/fakes.cpp
+++ b/bench/policybench/fakes.cpp
@@ -1,4 +1,4 @@
-// The fakes.
+// Fake engine and weight store in virtual time.
 #include "fakes.h"
 
 #include <algorithm>
@@ -11,86 +11,86 @@
     return AdapterVersion{text.substr(0, at), text.substr(at + 1)};
 }
 
-FakeStore::FakeStore(TimerService &timers, double rate, std::uint64_t seed)
+FakeWeightStore::FakeWeightStore(TimerService &timers, double rate, std::uint64_t seed)
     : timers_(timers)
     , random_(seed)
     , rate_(rate)
 {
 }
 
-double FakeStore::rateNow() const
+double FakeWeightStore::ratePerLoad() const
 {
-    return rate_ * factor_ / static_cast<double>(std::max<std::size_t>(1, active_.size()));
+    return rate_ * rateFactor_ / static_cast<double>(std::max<std::size_t>(1, activeLoads_.size()));
 }
 
-void FakeStore::progress(TimePoint now)
+void FakeWeightStore::updateProgress(TimePoint now)
 {
-    const double seconds = static_cast<double>((now - last_).count()) * 1e-6;
-    for (auto &[id, load] : active_) {
-        load.left -= seconds * rateNow();
+    const double seconds = static_cast<double>((now - lastUpdate_).count()) * 1e-6;
+    for (auto &[id, load] : activeLoads_) {
+        load.remaining -= seconds * ratePerLoad();
     }
-    last_ = now;
+    lastUpdate_ = now;
 }
 
-void FakeStore::arm(TimePoint now)
+void FakeWeightStore::armTimer(TimePoint now)
 {
     timers_.cancel(timer_);
-    if (active_.empty()) {
+    if (activeLoads_.empty()) {
         return;
     }
-    double least = 1.0;
-    for (const auto &[id, load] : active_) {
-        least = std::min(least, load.left);
+    double minRemaining = 1.0;
+    for (const auto &[id, load] : activeLoads_) {
+        minRemaining = std::min(minRemaining, load.remaining);
     }
-    const auto wait = Duration(static_cast<std::int64_t>(std::max(0.0, least) / rateNow() * 1e6) + 1);
+    const auto wait = Duration(static_cast<std::int64_t>(std::max(0.0, minRemaining) / ratePerLoad() * 1e6) + 1);
     timer_ = timers_.subscribe(now + wait, [this](TimePoint at) {
-        progress(at);
-        std::vector<Callback> done;
-        for (auto &[id, load] : active_) {
-            if (load.left <= 1e-9) {
-                done.push_back(std::move(load.done));
+        updateProgress(at);
+        std::vector<Callback> finished;
+        for (auto &[id, load] : activeLoads_) {
+            if (load.remaining <= 1e-9) {
+                finished.push_back(std::move(load.done));
             }
         }
-        std::erase_if(active_, [](const auto &item) { return item.second.left <= 1e-9; });
-        arm(at);
-        for (const auto &callback : done) {
+        std::erase_if(activeLoads_, [](const auto &item) { return item.second.remaining <= 1e-9; });
+        armTimer(at);
+        for (const auto &callback : finished) {
             callback(OrderOutcome::Done, Now{at, {}});
         }
     });
 }
 
-void FakeStore::load(TimePoint now, Callback done)
+void FakeWeightStore::load(TimePoint now, Callback done)
 {
-    if (refusals_ > 0.0 && random_.unit() < refusals_) {
+    if (refusalShare_ > 0.0 && random_.unit() < refusalShare_) {
         timers_.subscribe(now + Milliseconds(5), [done = std::move(done)](TimePoint at) {
             done(OrderOutcome::Refused, Now{at, {}});
         });
         return;
     }
     ++loads_;
-    progress(now);
-    active_[++lastId_] = Load{1.0, std::move(done)};
-    arm(now);
+    updateProgress(now);
+    activeLoads_[++lastId_] = Load{1.0, std::move(done)};
+    armTimer(now);
 }
 
-void FakeStore::disturb(double factor, double refusals, TimePoint now)
+void FakeWeightStore::setDisturbance(double rateFactor, double refusalShare, TimePoint now)
 {
-    progress(now);
-    factor_ = factor;
-    refusals_ = refusals;
-    arm(now);
+    updateProgress(now);
+    rateFactor_ = rateFactor;
+    refusalShare_ = refusalShare;
+    armTimer(now);
 }
 
-FakeEngine::FakeEngine(TimerService &timers, const Site &site, EngineEvents events)
+FakeEngine::FakeEngine(TimerService &timers, const DeploymentSpec &spec, EngineEvents events)
     : timers_(timers)
-    , site_(site)
+    , spec_(spec)
     , events_(std::move(events))
 {
 }
 
-bool FakeEngine::hasRoom() const
+bool FakeEngine::hasFreeSlot() const
 {
-    return loaded_.size() < site_.slots;
+    return loaded_.size() < spec_.slots;
 }
 
 void FakeEngine::addAdapter(const std::string &adapter, TimePoint now)
@@ -100,9 +100,10 @@
 
 bool FakeEngine::removeAdapter(const std::string &adapter)
 {
-    const auto uses = [&](const auto &item) { return item.second.adapter == adapter; };
-    if (std::any_of(running_.begin(), running_.end(), uses) || std::any_of(waiting_.begin(), waiting_.end(), uses)) {
-        ++faults_;
+    const auto isUser = [&](const auto &item) { return item.second.adapter == adapter; };
+    if (std::any_of(running_.begin(), running_.end(), isUser)
+        || std::any_of(waiting_.begin(), waiting_.end(), isUser)) {
+        ++faultCount_;
         return false;
     }
     loaded_.erase(adapter);
@@ -118,8 +119,8 @@
 void FakeEngine::start(ExecutionHandle execution, const std::string &adapter, std::uint32_t prompt,
                        std::uint32_t output, TimePoint now)
 {
-    if (down_ || !loaded_.contains(adapter)) {
-        faults_ += down_ ? 0 : 1;
+    if (isDown_ || !loaded_.contains(adapter)) {
+        faultCount_ += isDown_ ? 0 : 1;
         timers_.subscribe(now + Milliseconds(1), [this, execution](TimePoint at) {
             events_.ended(execution, CallOutcome::Failed, FailureReason::EndpointUnreachable, 0, Now{at, {}});
         });
@@ -140,30 +141,30 @@
 
 double FakeEngine::stepMs() const
 {
-    std::set<std::string_view> distinct;
+    std::set<std::string_view> distinctAdapters;
     double prompt = 0.0;
     for (const auto &[execution, sequence] : running_) {
-        distinct.insert(sequence.adapter);
-        prompt += sequence.made == 0 ? sequence.prompt : 0;
+        distinctAdapters.insert(sequence.adapter);
+        prompt += sequence.generated == 0 ? sequence.prompt : 0;
     }
-    const auto &cost = site_.cost;
+    const auto &cost = spec_.cost;
     return cost.baseMs + cost.perSequenceMs * static_cast<double>(running_.size())
-           + cost.perAdapterMs * static_cast<double>(distinct.size()) + cost.perPromptTokenMs * prompt;
+           + cost.perAdapterMs * static_cast<double>(distinctAdapters.size()) + cost.perPromptTokenMs * prompt;
 }
 
 void FakeEngine::armStep(TimePoint now)
 {
-    if (stepping_ || down_) {
+    if (isStepping_ || isDown_) {
         return;
     }
-    while (!waiting_.empty() && running_.size() < site_.batch) {
+    while (!waiting_.empty() && running_.size() < spec_.batch) {
         running_.insert(std::move(waiting_.front()));
         waiting_.erase(waiting_.begin());
     }
     if (running_.empty()) {
         return;
     }
-    stepping_ = true;
+    isStepping_ = true;
     currentStepMs_ = stepMs();
     stepTimer_ = timers_.subscribe(now + Duration(static_cast<std::int64_t>(currentStepMs_ * 1000.0)),
                                    [this](TimePoint at) { step(at); });
@@ -171,30 +172,30 @@
 
 void FakeEngine::step(TimePoint now)
 {
-    stepping_ = false;
+    isStepping_ = false;
     const double seconds = currentStepMs_ * 1e-3;
-    use_.busySeconds += seconds;
-    use_.filledSeconds += seconds * static_cast<double>(running_.size()) / site_.batch;
-    use_.tokens += static_cast<double>(running_.size());
-    std::vector<ExecutionHandle> first;
-    std::vector<std::pair<ExecutionHandle, std::uint32_t>> done;
+    usage_.busySeconds += seconds;
+    usage_.occupiedSeconds += seconds * static_cast<double>(running_.size()) / spec_.batch;
+    usage_.tokens += static_cast<double>(running_.size());
+    std::vector<ExecutionHandle> withFirstToken;
+    std::vector<std::pair<ExecutionHandle, std::uint32_t>> finished;
     for (auto &[execution, sequence] : running_) {
-        ++sequence.made;
-        --sequence.left;
-        if (sequence.made == 1) {
-            first.push_back(execution);
+        ++sequence.generated;
+        --sequence.remaining;
+        if (sequence.generated == 1) {
+            withFirstToken.push_back(execution);
         }
-        if (sequence.left == 0) {
-            done.emplace_back(execution, sequence.made);
+        if (sequence.remaining == 0) {
+            finished.emplace_back(execution, sequence.generated);
         }
     }
-    for (const auto &[execution, tokens] : done) {
+    for (const auto &[execution, tokens] : finished) {
         running_.erase(execution);
     }
-    for (const auto execution : first) {
+    for (const auto execution : withFirstToken) {
         events_.firstToken(execution, Now{now, {}});
     }
-    for (const auto &[execution, tokens] : done) {
+    for (const auto &[execution, tokens] : finished) {
         events_.ended(execution, CallOutcome::Complete, FailureReason::None, tokens, Now{now, {}});
     }
     armStep(now);
@@ -202,28 +203,28 @@
 
 void FakeEngine::restart(TimePoint now)
 {
-    down_ = true;
-    stepping_ = false;
+    isDown_ = true;
+    isStepping_ = false;
     timers_.cancel(stepTimer_);
     loaded_.clear();
     ++incarnation_;
-    std::vector<ExecutionHandle> cut;
+    std::vector<ExecutionHandle> interrupted;
     for (const auto &[execution, sequence] : running_) {
-        cut.push_back(execution);
+        interrupted.push_back(execution);
     }
     for (const auto &[execution, sequence] : waiting_) {
-        cut.push_back(execution);
+        interrupted.push_back(execution);
     }
     running_.clear();
     waiting_.clear();
-    for (const auto execution : cut) {
+    for (const auto execution : interrupted) {
         events_.ended(execution, CallOutcome::Failed, FailureReason::EndpointRestarted, 0, Now{now, {}});
     }
 }
 
 void FakeEngine::recover()
 {
-    down_ = false;
+    isDown_ = false;
 }
 
 EngineList FakeEngine::list() const
@@ -249,7 +250,7 @@
     out.incarnation = incarnation_;
     out.running = static_cast<std::uint32_t>(running_.size());
     out.waiting = static_cast<std::uint32_t>(waiting_.size());
-    out.stepFillPermille = out.running * 1000 / site_.batch;
+    out.stepFillPermille = out.running * 1000 / spec_.batch;
     return out;
 }
 
--- a/bench/policybench/fakes.h
+++ b/bench/policybench/fakes.h
@@ -1,5 +1,5 @@
-// Small fakes at the decisions' interfaces: an engine with continuous batching and adapter slots, and a weight store
-// that shares its rate among the loads in progress.
+// Fakes in virtual time: an engine with continuous batching and adapter slots, and a weight store whose rate is shared
+// by concurrent loads.
 #pragma once
 
 #include "scenario.h"
@@ -12,14 +12,15 @@
 
 namespace anvilscale::bench {
 
-class FakeStore
+/// Weight store whose load rate (loads per second) is divided among the loads in progress.
+class FakeWeightStore
 {
 public:
     using Callback = std::function<void(OrderOutcome, Now)>;
-    FakeStore(TimerService &timers, double rate, std::uint64_t seed);
+    FakeWeightStore(TimerService &timers, double rate, std::uint64_t seed);
     void load(TimePoint now, Callback done);
-    /// A slow store gives `factor` of its rate and refuses a share of the loads.
-    void disturb(double factor, double refusals, TimePoint now);
+    /// Scales the rate by `rateFactor` and refuses the given share of loads.
+    void setDisturbance(double rateFactor, double refusalShare, TimePoint now);
     std::uint64_t loads() const
     {
         return loads_;
@@ -28,72 +29,72 @@
 private:
     struct Load
     {
-        double left = 1.0; // parts of a load
+        double remaining = 1.0; // fraction of the load
         Callback done;
     };
-    double rateNow() const;
-    void progress(TimePoint now);
-    void arm(TimePoint now);
+    double ratePerLoad() const;
+    void updateProgress(TimePoint now);
+    void armTimer(TimePoint now);
 
     TimerService &timers_;
     Random random_;
     double rate_;
-    double factor_ = 1.0;
-    double refusals_ = 0.0;
-    std::map<std::uint64_t, Load> active_;
+    double rateFactor_ = 1.0;
+    double refusalShare_ = 0.0;
+    std::map<std::uint64_t, Load> activeLoads_;
     std::uint64_t lastId_ = 0;
-    TimePoint last_{};
+    TimePoint lastUpdate_{};
     TimerHandle timer_;
     std::uint64_t loads_ = 0;
 };
 
-/// What the engine reports to its owner.
+/// Engine callbacks.
 struct EngineEvents
 {
     std::function<void(ExecutionHandle, Now)> firstToken;
     std::function<void(ExecutionHandle, CallOutcome, FailureReason, std::uint32_t tokens, Now)> ended;
 };
 
-/// Integrals over time for batch efficiency.
-struct EngineUse
+/// Time integrals for batch efficiency.
+struct EngineUsage
 {
     double busySeconds = 0.0; ///< time in steps
-    double filledSeconds = 0.0; ///< time in steps times the part of the batch that was used
+    double occupiedSeconds = 0.0; ///< time in steps, weighted by batch occupancy
     double tokens = 0.0;
 };
 
 class FakeEngine
 {
 public:
-    FakeEngine(TimerService &timers, const Site &site, EngineEvents events);
+    FakeEngine(TimerService &timers, const DeploymentSpec &spec, EngineEvents events);
     void start(ExecutionHandle execution, const std::string &adapter, std::uint32_t prompt, std::uint32_t output,
                TimePoint now);
     void cancel(ExecutionHandle execution, TimePoint now);
-    bool hasRoom() const;
+    bool hasFreeSlot() const;
     void addAdapter(const std::string &adapter, TimePoint now);
-    /// False while calls of the adapter run: a real engine would abort them, the bench counts it as a fault.
+    /// Returns false and counts a fault while calls use the adapter; a real engine would abort them.
     bool removeAdapter(const std::string &adapter);
     void restart(TimePoint now);
     void recover();
-    bool down() const
+    bool isDown() const
     {
-        return down_;
+        return isDown_;
     }
     EngineList list() const;
     EngineReport report() const;
     std::optional<TimePoint> loadedAt(const std::string &adapter) const;
-    const EngineUse &use() const
+    const EngineUsage &usage() const
     {
-        return use_;
+        return usage_;
     }
-    /// Clears the integrals, at the end of the warm-up.
-    void resetUse()
+    /// Clears the integrals at the end of the warm-up.
+    void resetUsage()
     {
-        use_ = EngineUse{};
+        usage_ = EngineUsage{};
     }
-    std::uint64_t faults() const
+    std::uint64_t faultCount() const
     {
-        return faults_;
+        return faultCount_;
     }
 
 private:
@@ -101,29 +102,29 @@
     {
         std::string adapter;
         std::uint32_t prompt = 0;
-        std::uint32_t left = 0;
-        std::uint32_t made = 0;
+        std::uint32_t remaining = 0;
+        std::uint32_t generated = 0;
     };
     void step(TimePoint now);
     void armStep(TimePoint now);
     double stepMs() const;
 
     TimerService &timers_;
-    const Site &site_;
+    const DeploymentSpec &spec_;
     EngineEvents events_;
     std::map<ExecutionHandle, Sequence> running_;
     std::vector<std::pair<ExecutionHandle, Sequence>> waiting_;
     std::map<std::string, TimePoint> loaded_;
     std::uint64_t incarnation_ = 1;
-    bool down_ = false;
-    bool stepping_ = false;
+    bool isDown_ = false;
+    bool isStepping_ = false;
     TimerHandle stepTimer_;
     double currentStepMs_ = 0.0;
-    EngineUse use_;
-    std::uint64_t faults_ = 0;
+    EngineUsage usage_;
+    std::uint64_t faultCount_ = 0;
 };
 
-/// "adapter@version" as it is used as a name of weights.
+/// Parses "adapter@version".
 AdapterVersion parseAdapter(const std::string &text);
 
 } // namespace anvilscale::bench
--- a/bench/policybench/main.cpp
+++ b/bench/policybench/main.cpp
@@ -1,5 +1,4 @@
-// policybench: a seeded trace through the decisions of a whole site in virtual time, naive version and product in one
-// run, with the bounds beside them.
+// policybench: runs a seeded trace through baseline and product decisions in virtual time and prints their metrics.
 #include "bench_config.h"
 #include "fleet.h"
 #include "offline_bound.h"
@@ -13,21 +12,21 @@
 using namespace anvilscale;
 using namespace anvilscale::bench;
 
-constexpr std::uint32_t unboundedQueue = 1'000'000;
+constexpr std::uint32_t unlimitedQueue = 1'000'000;
 
 struct Options
 {
     Deployment deployment = Deployment::Authority;
     Scenario scenario = Scenario::Steady;
     std::uint64_t seed = 1;
-    PolicyChoice policy;
-    Ideas ideas;
+    PolicySettings policy;
+    OverloadOptions overloadOptions;
     std::string versions = "both";
-    double zipf = 0.0; ///< 0: as the deployment has it
-    double rate = 0.0; ///< calls a second; 0: as the deployment has it
+    double zipf = 0.0; ///< 0 for the value of the deployment
+    double rate = 0.0; ///< calls per second; 0 for the value of the deployment
 };
 
-std::optional<Options> parse(int argc, char **argv)
+std::optional<Options> parseOptions(int argc, char **argv)
 {
     cxxopts::Options options("policybench", "decisions under load in virtual time");
     auto add = options.add_options();
@@ -41,9 +40,9 @@
     add("rate", "calls a second; 0: the deployment's", cxxopts::value<double>()->default_value("0"));
     add("ideas", "against a retry storm: a list of queue, budget, attach, defer, newest, deadline; or none",
         cxxopts::value<std::string>()->default_value("queue,budget,attach,defer,deadline"));
-    const auto given = options.parse(argc, argv);
-    const auto deployment = fromString<Deployment>(given["deployment"].as<std::string>());
-    const auto scenario = fromString<Scenario>(given["scenario"].as<std::string>());
+    const auto parsed = options.parse(argc, argv);
+    const auto deployment = fromString<Deployment>(parsed["deployment"].as<std::string>());
+    const auto scenario = fromString<Scenario>(parsed["scenario"].as<std::string>());
     if (!deployment || !scenario) {
         std::cerr << options.help() << '\n';
         return std::nullopt;
@@ -51,47 +50,47 @@
     Options out;
     out.deployment = *deployment;
     out.scenario = *scenario;
-    out.seed = given["seed"].as<std::uint64_t>();
-    out.versions = given["version"].as<std::string>();
-    out.zipf = given["zipf"].as<double>();
-    out.rate = given["rate"].as<double>();
-    const auto ideas = given["ideas"].as<std::string>();
-    const auto has = [&](const char *idea) { return ideas.find(idea) != std::string::npos; };
-    out.ideas = Ideas{has("budget"), has("attach"), has("defer"), has("newest"), has("deadline")};
-    // Zero in a record means the default.
-    out.policy.cancelDelay = out.ideas.deferredCancel ? Duration(Seconds(10)) : Duration(Milliseconds(1));
-    out.policy.queueLimit = has("queue") ? 0 : unboundedQueue;
+    out.seed = parsed["seed"].as<std::uint64_t>();
+    out.versions = parsed["version"].as<std::string>();
+    out.zipf = parsed["zipf"].as<double>();
+    out.rate = parsed["rate"].as<double>();
+    const auto optionList = parsed["ideas"].as<std::string>();
+    const auto has = [&](const char *name) { return optionList.find(name) != std::string::npos; };
+    out.overloadOptions = OverloadOptions{has("budget"), has("attach"), has("defer"), has("newest"), has("deadline")};
+    // Zero means the default in a record, so the shortest delay is 1 ms.
+    out.policy.cancelDelay = out.overloadOptions.defersCancel ? Duration(Seconds(10)) : Duration(Milliseconds(1));
+    out.policy.queueLimit = has("queue") ? 0 : unlimitedQueue;
     return out;
 }
 
 template<class Version>
 void runVersion(const char *name, const Trace &trace, const ConfigStore &config, const Options &options)
 {
-    Fleet<Version> fleet(trace, config, options.seed, options.ideas);
+    FleetSimulation<Version> fleet(trace, config, options.seed, options.overloadOptions);
     fleet.run();
     std::cout << ",\"" << name << "\":";
-    printMeasures(std::cout, fleet.measures());
+    printMetrics(std::cout, fleet.metrics());
 }
 
 } // namespace
 
 int main(int argc, char **argv)
 {
-    const auto options = parse(argc, argv);
+    const auto options = parseOptions(argc, argv);
     if (!options) {
         return 2;
     }
-    auto site = siteOf(options->deployment);
-    site.zipf = options->zipf > 0.0 ? options->zipf : site.zipf;
-    site.callsPerSecond = options->rate > 0.0 ? options->rate : site.callsPerSecond;
-    const auto trace = makeTrace(site, options->deployment, options->scenario, options->seed);
+    auto spec = specOf(options->deployment);
+    spec.zipf = options->zipf > 0.0 ? options->zipf : spec.zipf;
+    spec.callsPerSecond = options->rate > 0.0 ? options->rate : spec.callsPerSecond;
+    const auto trace = makeTrace(spec, options->deployment, options->scenario, options->seed);
     ConfigStore config;
-    if (!fillConfig(config, trace.site, options->policy)) {
+    if (!buildConfig(config, trace.spec, options->policy)) {
         return 1;
     }
     std::cout << "{\"deployment\":\"" << toString(options->deployment) << "\",\"scenario\":\""
               << toString(options->scenario) << "\",\"seed\":" << options->seed
-              << ",\"capacity_calls_per_s\":" << trace.site.capacity();
+              << ",\"capacity_calls_per_s\":" << trace.spec.capacity();
     printBound(std::cout, offlineBound(trace));
     if (options->versions != "product") {
         runVersion<NaiveVersion>("naive", trace, config, *options);
--- a/bench/policybench/metrics.h
+++ b/bench/policybench/metrics.h
@@ -1,4 +1,4 @@
-// What is measured of one run, and its form as JSON.
+// Metrics of one run and their JSON output.
 #pragma once
 
 #include "scenario.h"
@@ -11,9 +11,9 @@
 
 namespace anvilscale::bench {
 
-enum class CallEnding : std::uint8_t {
+enum class CallResult : std::uint8_t {
     Open,
-    Whole,
+    Completed,
     Refused,
     Failed,
     Count
@@ -24,25 +24,25 @@
     TimePoint arrived;
     TimePoint ended;
     Duration deadline{};
-    Duration stall{}; ///< from arrival until the adapter was loaded at the engine that ran it, if it was not yet
-    CallEnding ending = CallEnding::Open;
+    Duration stall{}; ///< from arrival until the adapter was loaded on its engine; 0 if resident
+    CallResult result = CallResult::Open;
     CallClass callClass = CallClass::Normal;
-    bool service = false;
-    bool started = false;
+    bool isService = false;
+    bool hasStarted = false;
     std::uint32_t caller = 0;
     std::uint32_t executions = 0;
-    std::uint32_t attempts = 0; ///< of the caller
+    std::uint32_t attempts = 0; ///< made by the caller
 };
 
-struct Measures
+struct Metrics
 {
     std::uint64_t calls = 0;
-    std::uint64_t stalled = 0;
+    std::uint64_t stalledCalls = 0;
     Duration stallP50{};
     Duration stallP99{};
     double stallTotalSeconds = 0.0;
-    double batchEfficiency = 0.0; ///< of the time in steps
-    double fleetUse = 0.0; ///< filled batch places over all places and all time
+    double batchEfficiency = 0.0; ///< occupied share of the batch during steps
+    double fleetUtilization = 0.0; ///< occupied share of all batch slots over the whole run
     double tokensPerSecond = 0.0;
     std::array<std::uint64_t, enumCount<CallClass>> callsByClass{};
     std::array<std::uint64_t, enumCount<CallClass>> missesByClass{};
@@ -50,19 +50,19 @@
     double executionsPerCall = 0.0;
     std::uint64_t loads = 0;
     std::uint64_t reloads = 0;
-    double jain = 1.0;
-    std::uint64_t whole = 0;
-    double inDeadlineShare = 0.0;
-    // Overload and storm only.
-    double recoverySeconds = -1.0; ///< after the pulse until goodput stays back; -1: never
-    double pulseInTime = 0.0;
-    double pulseWhole = 0.0; ///< answered at all, late ones included
-    double laterInTime = 0.0; ///< calls that arrive from 60 s after the pulse on
-    std::uint64_t faults = 0; ///< eviction under a call, start without the adapter: must be 0
-    std::uint64_t unanswered = 0; ///< calls without an end: must be 0
+    double jainIndex = 1.0;
+    std::uint64_t completed = 0;
+    double inDeadlineRatio = 0.0;
+    // Only meaningful for overload and storm.
+    double recoverySeconds = -1.0; ///< after the pulse until goodput stays recovered; -1 if never
+    double pulseInTimeRatio = 0.0;
+    double pulseCompletedRatio = 0.0; ///< answered, including late answers
+    double afterPulseInTimeRatio = 0.0; ///< of calls arriving at least 60 s after the pulse
+    std::uint64_t faultCount = 0; ///< evictions during a call and starts without the adapter; must be 0
+    std::uint64_t unanswered = 0; ///< calls without a result; must be 0
 };
 
-Measures measure(const Trace &trace, const std::vector<CallRecord> &records, TimePoint origin);
-void printMeasures(std::ostream &out, const Measures &measures);
+Metrics computeMetrics(const Trace &trace, const std::vector<CallRecord> &records, TimePoint origin);
+void printMetrics(std::ostream &out, const Metrics &metrics);
 
 } // namespace anvilscale::bench
--- a/bench/policybench/naive_sidecar.cpp
+++ b/bench/policybench/naive_sidecar.cpp
@@ -1,4 +1,4 @@
-// The naive sidecar.
+// Baseline sidecar: FIFO queue with LRU eviction.
 #include "naive_sidecar.h"
 
 #include "fakes.h"
@@ -20,12 +20,12 @@
 void NaiveSidecar::armHeartbeat(Now now)
 {
     init_.timers->subscribe(now.mono + init_.timing.heartbeat, [this](TimePoint at) {
-        heartbeat(Now{at, {}});
+        sendHeartbeat(Now{at, {}});
         armHeartbeat(Now{at, {}});
     });
 }
 
-void NaiveSidecar::heartbeat(Now /*now*/)
+void NaiveSidecar::sendHeartbeat(Now /*now*/)
 {
     wire::Envelope message;
     message.set_protocol(wireProtocol);
@@ -39,7 +39,7 @@
     }
     out.set_full(true);
     out.set_sequence(++sequence_);
-    out.set_admitting(up_);
+    out.set_admitting(isEngineUp_);
     out.set_slots(init_.slots);
     out.set_running(static_cast<std::uint32_t>(running_.size()));
     out.set_queued(static_cast<std::uint32_t>(queue_.size()));
@@ -55,26 +55,26 @@
         peers_[from] = true;
     }
     if (message.has_call_request()) {
-        queue_.push_back(Waiting{from, message.call_request()});
-        serve(now);
+        queue_.push_back(QueuedCall{from, message.call_request()});
+        startCalls(now);
     }
     if (!message.has_call_cancel()) {
         return;
     }
     const auto &id = message.call_cancel().id();
-    const auto same = [&](const wire::AttemptId &other) {
+    const auto isSame = [&](const wire::AttemptId &other) {
         return other.entry_incarnation() == id.entry_incarnation() && other.call() == id.call()
                && other.attempt() == id.attempt();
     };
-    std::erase_if(queue_, [&](const auto &waiting) { return same(waiting.request.id()); });
+    std::erase_if(queue_, [&](const auto &waiting) { return isSame(waiting.request.id()); });
     for (const auto &[execution, running] : running_) {
-        if (same(running.id)) {
+        if (isSame(running.id)) {
             actions_.emplace_back(CancelExecution{execution});
         }
     }
 }
 
-void NaiveSidecar::order(OrderKind kind, const std::string &adapter)
+void NaiveSidecar::sendOrder(OrderKind kind, const std::string &adapter)
 {
     const OrderHandle handle{++lastOrder_};
     orders_[handle] = {kind, adapter};
@@ -85,62 +85,62 @@
     actions_.emplace_back(std::move(out));
 }
 
-bool NaiveSidecar::makeRoom(TimePoint /*now*/)
+bool NaiveSidecar::freeSlot(TimePoint /*now*/)
 {
-    std::uint32_t used = 0;
+    std::uint32_t usedSlots = 0;
     std::pair<const std::string, Adapter> *victim = nullptr;
     for (auto &item : adapters_) {
         const auto state = item.second.state;
-        used += state != ResidencyState::Absent ? 1 : 0;
-        const bool idle = state == ResidencyState::Resident && item.second.pins == 0;
-        if (idle && (victim == nullptr || item.second.lastUsed < victim->second.lastUsed)) {
+        usedSlots += state != ResidencyState::Absent ? 1 : 0;
+        const bool isIdle = state == ResidencyState::Resident && item.second.pins == 0;
+        if (isIdle && (victim == nullptr || item.second.lastUsed < victim->second.lastUsed)) {
             victim = &item;
         }
     }
-    if (used < init_.slots) {
+    if (usedSlots < init_.slots) {
         return true;
     }
     if (victim == nullptr) {
         return false;
     }
     victim->second.state = ResidencyState::Evicting;
-    order(OrderKind::Unload, victim->first);
+    sendOrder(OrderKind::Unload, victim->first);
     return false;
 }
 
-void NaiveSidecar::serve(Now now)
+void NaiveSidecar::startCalls(Now now)
 {
-    if (!up_) {
+    if (!isEngineUp_) {
         return;
     }
-    bool evicting = std::any_of(adapters_.begin(), adapters_.end(),
-                                [](const auto &item) { return item.second.state == ResidencyState::Evicting; });
-    for (auto place = queue_.begin(); place != queue_.end() && running_.size() < init_.batchLimit;) {
-        const bool service = !place->request.service().empty();
-        const auto name = service ? std::string() : place->request.adapter() + "@" + place->request.version();
+    bool isEvicting = std::any_of(adapters_.begin(), adapters_.end(),
+                                  [](const auto &item) { return item.second.state == ResidencyState::Evicting; });
+    for (auto position = queue_.begin(); position != queue_.end() && running_.size() < init_.batchLimit;) {
+        const bool isService = !position->request.service().empty();
+        const auto name = isService ? std::string() : position->request.adapter() + "@" + position->request.version();
         auto &adapter = adapters_[name];
-        if (service) {
+        if (isService) {
             adapter.state = ResidencyState::Resident;
         }
-        if (adapter.state == ResidencyState::Absent && !evicting) {
-            if (makeRoom(now.mono)) {
+        if (adapter.state == ResidencyState::Absent && !isEvicting) {
+            if (freeSlot(now.mono)) {
                 adapter.state = ResidencyState::Loading;
-                order(OrderKind::Load, name);
+                sendOrder(OrderKind::Load, name);
             } else {
-                evicting = true;
+                isEvicting = true;
             }
         }
         if (adapter.state != ResidencyState::Resident) {
-            ++place;
+            ++position;
             continue;
         }
         ++adapter.pins;
         adapter.lastUsed = now.mono;
         const ExecutionHandle handle{++lastExecution_};
-        running_[handle] = Running{name, place->request.id()};
+        running_[handle] = RunningCall{name, position->request.id()};
         ++stats_.executions;
-        actions_.emplace_back(StartExecution{handle, place->from, std::move(place->request), false});
-        place = queue_.erase(place);
+        actions_.emplace_back(StartExecution{handle, position->from, std::move(position->request), false});
+        position = queue_.erase(position);
     }
 }
 
@@ -160,7 +160,7 @@
         --adapter->second.pins;
     }
     running_.erase(position);
-    serve(now);
+    startCalls(now);
 }
 
 void NaiveSidecar::onOrderDone(OrderHandle handle, OrderOutcome outcome, Now now)
@@ -171,14 +171,14 @@
     }
     const auto [kind, name] = position->second;
     orders_.erase(position);
-    const bool resident = kind == OrderKind::Load && outcome == OrderOutcome::Done;
+    const bool isResident = kind == OrderKind::Load && outcome == OrderOutcome::Done;
     auto &adapter = adapters_[name];
-    adapter.state = resident ? ResidencyState::Resident : ResidencyState::Absent;
+    adapter.state = isResident ? ResidencyState::Resident : ResidencyState::Absent;
     adapter.lastUsed = now.mono;
-    if (!resident && adapter.pins == 0) {
+    if (!isResident && adapter.pins == 0) {
         adapters_.erase(name);
     }
-    serve(now);
+    startCalls(now);
 }
 
 void NaiveSidecar::onEngineList(OrderHandle /*order*/, const EngineList & /*list*/, Now /*now*/)
@@ -187,16 +187,16 @@
 
 void NaiveSidecar::onEngineReport(const EngineReport & /*report*/, Now now)
 {
-    if (up_) {
+    if (isEngineUp_) {
         return;
     }
-    up_ = true;
-    serve(now);
+    isEngineUp_ = true;
+    startCalls(now);
 }
 
 void NaiveSidecar::onEngineLost(Now /*now*/)
 {
-    up_ = false;
+    isEngineUp_ = false;
     adapters_.clear();
     orders_.clear();
 }
--- a/bench/policybench/naive_sidecar.h
+++ b/bench/policybench/naive_sidecar.h
@@ -1,5 +1,5 @@
-// The naive sidecar behind the sidecar's face: calls in order of arrival, an adapter is loaded when its call comes,
-// the least recently used one without calls goes. No scheduler, no attaching of repeats, cancels at once.
+// Baseline implementation of the sidecar interface: FIFO queue, loads on demand, LRU eviction of unused adapters, no
+// load scheduler, no attached repeats, immediate cancels.
 #pragma once
 
 #include "anvilscale/residency.h"
@@ -35,32 +35,32 @@
         std::uint32_t pins = 0;
         TimePoint lastUsed;
     };
-    struct Waiting
+    struct QueuedCall
     {
         PeerHandle from;
         wire::CallRequest request;
     };
-    struct Running
+    struct RunningCall
     {
         std::string adapter;
         wire::AttemptId id;
     };
-    void serve(Now now);
-    bool makeRoom(TimePoint now);
-    void order(OrderKind kind, const std::string &adapter);
-    void heartbeat(Now now);
+    void startCalls(Now now);
+    bool freeSlot(TimePoint now);
+    void sendOrder(OrderKind kind, const std::string &adapter);
+    void sendHeartbeat(Now now);
     void armHeartbeat(Now now);
 
     SidecarInit init_;
     std::map<PeerHandle, bool> peers_;
-    std::deque<Waiting> queue_;
-    std::map<ExecutionHandle, Running> running_;
+    std::deque<QueuedCall> queue_;
+    std::map<ExecutionHandle, RunningCall> running_;
     std::map<std::string, Adapter> adapters_;
     std::map<OrderHandle, std::pair<OrderKind, std::string>> orders_;
     std::uint64_t lastExecution_ = 0;
     std::uint64_t lastOrder_ = 0;
     std::uint64_t sequence_ = 0;
-    bool up_ = true;
+    bool isEngineUp_ = true;
     std::vector<SidecarAction> actions_;
     SidecarStats stats_;
 };
--- a/bench/policybench/offline_bound.cpp
+++ b/bench/policybench/offline_bound.cpp
@@ -1,4 +1,4 @@
-// The clairvoyant's run.
+// Greedy offline policy with full knowledge of the trace.
 #include "offline_bound.h"
 
 #include <algorithm>
@@ -9,28 +9,28 @@
 
 namespace {
 
-constexpr Duration never = Duration::max();
+constexpr Duration noFurtherUse = Duration::max();
 
-class Clairvoyant
+class OfflinePolicy
 {
 public:
-    Clairvoyant(const Trace &trace, bool prefetch)
+    OfflinePolicy(const Trace &trace, bool hasPrefetch)
         : trace_(trace)
-        , prefetch_(prefetch)
-        , uses_(trace.site.adapters)
-        , next_(trace.site.adapters, 0)
-        , busyUntil_(trace.site.adapters, Duration{})
-        , loadTime_(static_cast<std::int64_t>(1e6 / trace.site.loadRate))
-        , slots_(static_cast<std::size_t>(trace.site.engines) * trace.site.slots)
+        , hasPrefetch_(hasPrefetch)
+        , useTimes_(trace.spec.adapters)
+        , nextUseIndex_(trace.spec.adapters, 0)
+        , busyUntil_(trace.spec.adapters, Duration{})
+        , loadTime_(static_cast<std::int64_t>(1e6 / trace.spec.loadRate))
+        , slots_(static_cast<std::size_t>(trace.spec.engines) * trace.spec.slots)
     {
         for (const auto &call : trace.calls) {
-            if (!call.service) {
-                uses_[call.adapter].push_back(call.at);
+            if (!call.isService) {
+                useTimes_[call.adapter].push_back(call.at);
             }
         }
-        for (std::uint32_t adapter = 0; adapter < uses_.size(); ++adapter) {
-            if (!uses_[adapter].empty()) {
-                absent_.emplace(uses_[adapter].front(), adapter);
+        for (std::uint32_t adapter = 0; adapter < useTimes_.size(); ++adapter) {
+            if (!useTimes_[adapter].empty()) {
+                absent_.emplace(useTimes_[adapter].front(), adapter);
             }
         }
     }
@@ -38,7 +38,7 @@
     std::vector<Duration> run()
     {
         for (const auto &call : trace_.calls) {
-            if (call.service) {
+            if (call.isService) {
                 continue;
             }
             loadUntil(call.at);
@@ -50,39 +50,40 @@
 private:
     Duration nextUse(std::uint32_t adapter) const
     {
-        return next_[adapter] < uses_[adapter].size() ? uses_[adapter][next_[adapter]] : never;
+        return nextUseIndex_[adapter] < useTimes_[adapter].size() ? useTimes_[adapter][nextUseIndex_[adapter]]
+                                                                  : noFurtherUse;
     }
 
-    /// Loads ahead of need while the store is free before `until`.
+    /// Prefetches adapters while the store is idle before `until`.
     void loadUntil(Duration until)
     {
-        while (prefetch_ && storeFree_ <= until && !absent_.empty()) {
+        while (hasPrefetch_ && storeFreeAt_ <= until && !absent_.empty()) {
             const auto [use, adapter] = *absent_.begin();
-            if (!makeRoom(use, storeFree_)) {
+            if (!evictFor(use, storeFreeAt_)) {
                 return;
             }
-            load(adapter, storeFree_);
+            load(adapter, storeFreeAt_);
         }
     }
 
-    /// A slot for an adapter that is used at `use`; an idle one with a later next use goes.
-    bool makeRoom(Duration use, Duration now)
+    /// Frees a slot for an adapter used at `use` by evicting an idle one with a later next use. False if there is none.
+    bool evictFor(Duration use, Duration now)
     {
         if (resident_.size() < slots_) {
             return true;
         }
-        for (auto place = resident_.rbegin(); place != resident_.rend(); ++place) {
-            const auto [nextUseOf, adapter] = *place;
-            if (nextUseOf <= use) {
+        for (auto position = resident_.rbegin(); position != resident_.rend(); ++position) {
+            const auto [residentNextUse, adapter] = *position;
+            if (residentNextUse <= use) {
                 return false;
             }
             if (busyUntil_[adapter] > now) {
                 continue;
             }
-            resident_.erase(std::next(place).base());
+            resident_.erase(std::next(position).base());
             readyAt_.erase(adapter);
-            if (nextUseOf != never) {
-                absent_.emplace(nextUseOf, adapter);
+            if (residentNextUse != noFurtherUse) {
+                absent_.emplace(residentNextUse, adapter);
             }
             return true;
         }
@@ -94,28 +95,28 @@
         const auto use = nextUse(adapter);
         absent_.erase({use, adapter});
         resident_.emplace(use, adapter);
-        storeFree_ = at + loadTime_;
-        readyAt_[adapter] = storeFree_;
+        storeFreeAt_ = at + loadTime_;
+        readyAt_[adapter] = storeFreeAt_;
     }
 
     void serve(const TraceCall &call)
     {
         const auto adapter = call.adapter;
         if (!readyAt_.contains(adapter)) {
-            const auto from = std::max(storeFree_, call.at);
-            // If all slots are busy the load waits for the first to come free.
-            const auto start = makeRoom(call.at, from) ? from : firstFree(from);
+            const auto from = std::max(storeFreeAt_, call.at);
+            // If all slots are busy, the load waits for the first one to become free.
+            const auto start = evictFor(call.at, from) ? from : evictFirstFree(from);
             load(adapter, start);
         }
         const auto ready = readyAt_[adapter];
         stalls_.push_back(std::max(Duration{}, ready - call.at));
         resident_.erase({nextUse(adapter), adapter});
-        ++next_[adapter];
+        ++nextUseIndex_[adapter];
         resident_.emplace(nextUse(adapter), adapter);
         busyUntil_[adapter] = std::max(busyUntil_[adapter], std::max(ready, call.at) + runTime(call));
     }
 
-    Duration firstFree(Duration from)
+    Duration evictFirstFree(Duration from)
     {
         std::uint32_t best = resident_.begin()->second;
         for (const auto &[use, adapter] : resident_) {
@@ -124,32 +125,32 @@
         const auto use = nextUse(best);
         resident_.erase({use, best});
         readyAt_.erase(best);
-        if (use != never) {
+        if (use != noFurtherUse) {
             absent_.emplace(use, best);
         }
         return std::max(from, busyUntil_[best]);
     }
 
-    /// Alone on its engine.
+    /// Run time of the call alone on its engine.
     Duration runTime(const TraceCall &call) const
     {
-        const auto &cost = trace_.site.cost;
+        const auto &cost = trace_.spec.cost;
         const double step = cost.baseMs + cost.perSequenceMs + cost.perAdapterMs;
         const double ms = call.outputTokens * step + call.promptTokens * cost.perPromptTokenMs;
         return Duration(static_cast<std::int64_t>(ms * 1000.0));
     }
 
     const Trace &trace_;
-    bool prefetch_;
-    std::vector<std::vector<Duration>> uses_;
-    std::vector<std::size_t> next_; // first use that has not been served
+    bool hasPrefetch_;
+    std::vector<std::vector<Duration>> useTimes_;
+    std::vector<std::size_t> nextUseIndex_; // index of the first unserved use
     std::vector<Duration> busyUntil_;
     Duration loadTime_;
     std::size_t slots_;
-    std::set<std::pair<Duration, std::uint32_t>> resident_; // by next use
-    std::set<std::pair<Duration, std::uint32_t>> absent_; // that have a next use
+    std::set<std::pair<Duration, std::uint32_t>> resident_; // sorted by next use
+    std::set<std::pair<Duration, std::uint32_t>> absent_; // not resident, with a next use
     std::map<std::uint32_t, Duration> readyAt_;
-    Duration storeFree_{};
+    Duration storeFreeAt_{};
     std::vector<Duration> stalls_;
 };
 
@@ -165,11 +166,11 @@
     std::size_t index = 0;
     Summary out;
     for (const auto &call : trace.calls) {
-        if (call.service) {
+        if (call.isService) {
             continue;
         }
         const auto stall = stalls[index++];
-        if (call.at >= trace.measureFrom) {
+        if (call.at >= trace.warmUpUntil) {
             measured.push_back(stall);
             out.total += static_cast<double>(stall.count()) * 1e-6;
         }
@@ -185,10 +186,11 @@
 
 OfflineBound offlineBound(const Trace &trace)
 {
-    const auto ahead = summarize(trace, Clairvoyant(trace, true).run());
-    const auto demand = summarize(trace, Clairvoyant(trace, false).run());
-    // Neither is optimal under a saturated store: the better one is the bound.
-    return OfflineBound{std::min(ahead.p99, demand.p99), std::min(ahead.total, demand.total), demand.p99, demand.total};
+    const auto prefetching = summarize(trace, OfflinePolicy(trace, true).run());
+    const auto onDemand = summarize(trace, OfflinePolicy(trace, false).run());
+    // Neither is optimal with a saturated store, so the better one is used as the bound.
+    return OfflineBound{std::min(prefetching.p99, onDemand.p99), std::min(prefetching.total, onDemand.total),
+                        onDemand.p99, onDemand.total};
 }
 
 void printBound(std::ostream &out, const OfflineBound &bound)
--- a/bench/policybench/scenario.cpp
+++ b/bench/policybench/scenario.cpp
@@ -1,4 +1,4 @@
-// Sizes of the deployments and the seeded traces.
+// Parameters of the deployments and generation of seeded traces.
 #include "scenario.h"
 
 #include <algorithm>
@@ -10,15 +10,15 @@
 
 namespace {
 
-constexpr Duration overloadPulse = Seconds(107);
+constexpr Duration overloadDuration = Seconds(107);
 constexpr double overloadFactor = 2.7;
-constexpr double afterOverload = 0.6;
+constexpr double postOverloadFactor = 0.6;
 constexpr double outputSigma = 0.6;
 constexpr std::uint32_t callerCount = 40;
 
-double meanOutput(const Site &site)
+double meanOutputTokens(const DeploymentSpec &spec)
 {
-    return site.outputTokens * std::exp(outputSigma * outputSigma / 2.0);
+    return spec.outputTokens * std::exp(outputSigma * outputSigma / 2.0);
 }
 
 class Popularity
@@ -42,7 +42,7 @@
             std::swap(order_[i - 1], order_[random.below(i)]);
         }
     }
-    /// Exchanges a share of the ranks, the popular ones included.
+    /// Swaps a share of the ranks, spread over all popularities.
     void shift(double share, Random &random)
     {
         const auto count = static_cast<std::size_t>(share * static_cast<double>(order_.size()));
@@ -51,23 +51,23 @@
             std::swap(order_[rank], order_[random.below(order_.size())]);
         }
     }
-    std::uint32_t draw(Random &random) const
+    std::uint32_t sample(Random &random) const
     {
         const double at = random.unit() * cumulative_.back();
         const auto rank = std::lower_bound(cumulative_.begin(), cumulative_.end(), at) - cumulative_.begin();
         return order_[std::min<std::size_t>(static_cast<std::size_t>(rank), order_.size() - 1)];
     }
-    std::uint32_t coldest() const
+    std::uint32_t leastPopular() const
     {
         return order_.back();
     }
 
 private:
-    std::vector<std::uint32_t> order_; // adapter by rank
+    std::vector<std::uint32_t> order_; // adapters sorted by rank
     std::vector<double> cumulative_;
 };
 
-double normal(Random &random)
+double sampleNormal(Random &random)
 {
     const double radius = std::sqrt(-2.0 * std::log(1.0 - random.unit()));
     return radius * std::cos(2.0 * std::numbers::pi * random.unit());
@@ -75,59 +75,59 @@
 
 double rateAt(const Trace &trace, Duration at)
 {
-    const bool pulse = at >= trace.disturbanceFrom && at < trace.disturbanceUntil;
+    const bool isPulse = at >= trace.disturbanceStart && at < trace.disturbanceEnd;
     switch (trace.scenario) {
     case Scenario::Overload:
     case Scenario::Storm:
-        return trace.site.capacity() * (pulse ? overloadFactor : afterOverload);
+        return trace.spec.capacity() * (isPulse ? overloadFactor : postOverloadFactor);
     case Scenario::Flash:
-        return trace.site.callsPerSecond * (pulse ? 2.0 : 1.0);
+        return trace.spec.callsPerSecond * (isPulse ? 2.0 : 1.0);
     default:
-        return trace.site.callsPerSecond;
+        return trace.spec.callsPerSecond;
     }
 }
 
-/// An arrival is a single call or a job of several.
-double jobChance(const Site &site)
+/// Probability that an arrival is a job of several calls.
+double jobProbability(const DeploymentSpec &spec)
 {
-    return site.jobShare / (site.jobShare + (1.0 - site.jobShare) * site.jobSize);
+    return spec.jobShare / (spec.jobShare + (1.0 - spec.jobShare) * spec.jobSize);
 }
 
-double callsPerArrival(const Site &site)
+double callsPerArrival(const DeploymentSpec &spec)
 {
-    return 1.0 + jobChance(site) * (site.jobSize - 1.0);
+    return 1.0 + jobProbability(spec) * (spec.jobSize - 1.0);
 }
 
-TraceCall drawCall(const Trace &trace, Duration at, const Popularity &popularity, Random &random)
+TraceCall sampleCall(const Trace &trace, Duration at, const Popularity &popularity, Random &random)
 {
     TraceCall call;
     call.at = at;
-    const double total = rateAt(trace, at) / callsPerArrival(trace.site) + trace.site.serviceCallsPerSecond;
-    call.service = random.unit() * total < trace.site.serviceCallsPerSecond;
+    const double total = rateAt(trace, at) / callsPerArrival(trace.spec) + trace.spec.serviceCallsPerSecond;
+    call.isService = random.unit() * total < trace.spec.serviceCallsPerSecond;
     call.caller = static_cast<std::uint32_t>(random.below(callerCount));
-    const bool pulse = at >= trace.disturbanceFrom && at < trace.disturbanceUntil;
-    const bool crowd = trace.scenario == Scenario::Flash && pulse && random.unit() < 0.5;
-    call.adapter = crowd ? popularity.coldest() : popularity.draw(random);
-    call.callClass = call.service ? CallClass::Normal : classOfAdapter(call.adapter);
-    const double output = trace.site.outputTokens * std::exp(outputSigma * normal(random));
+    const bool isPulse = at >= trace.disturbanceStart && at < trace.disturbanceEnd;
+    const bool isFlashCall = trace.scenario == Scenario::Flash && isPulse && random.unit() < 0.5;
+    call.adapter = isFlashCall ? popularity.leastPopular() : popularity.sample(random);
+    call.callClass = call.isService ? CallClass::Normal : callClassOf(call.adapter);
+    const double output = trace.spec.outputTokens * std::exp(outputSigma * sampleNormal(random));
     call.outputTokens = static_cast<std::uint32_t>(std::clamp(output, 4.0, 2000.0));
-    const double prompt = trace.site.promptTokens * (0.5 + random.unit());
+    const double prompt = trace.spec.promptTokens * (0.5 + random.unit());
     call.promptTokens = static_cast<std::uint32_t>(prompt);
     return call;
 }
 
 void addCalls(Trace &trace, Duration at, const Popularity &popularity, Random &random)
 {
-    const auto first = drawCall(trace, at, popularity, random);
+    const auto first = sampleCall(trace, at, popularity, random);
     trace.calls.push_back(first);
-    const bool job = !first.service && random.unit() < jobChance(trace.site);
-    if (!job) {
+    const bool isJob = !first.isService && random.unit() < jobProbability(trace.spec);
+    if (!isJob) {
         return;
     }
-    const auto more = static_cast<std::uint32_t>(std::lround(2.0 * (trace.site.jobSize - 1.0) * random.unit()));
-    for (std::uint32_t i = 0; i < more; ++i) {
-        auto call = drawCall(trace, at, popularity, random);
-        call.service = false;
+    const auto extraCalls = static_cast<std::uint32_t>(std::lround(2.0 * (trace.spec.jobSize - 1.0) * random.unit()));
+    for (std::uint32_t i = 0; i < extraCalls; ++i) {
+        auto call = sampleCall(trace, at, popularity, random);
+        call.isService = false;
         call.adapter = first.adapter;
         call.callClass = first.callClass;
         call.caller = first.caller;
@@ -137,7 +137,7 @@
 
 } // namespace
 
-double Site::capacity() const
+double DeploymentSpec::capacity() const
 {
     double resident = 0.0;
     double all = 0.0;
@@ -150,15 +150,15 @@
     return std::min(engineCapacity(), storeCapacity);
 }
 
-double Site::engineCapacity() const
+double DeploymentSpec::engineCapacity() const
 {
     const double prefill = promptTokens * cost.perPromptTokenMs;
     const double step = cost.baseMs + cost.perSequenceMs * batch + cost.perAdapterMs * slots;
-    const double perCall = meanOutput(*this) * step / batch + prefill;
+    const double perCall = meanOutputTokens(*this) * step / batch + prefill;
     return engines * 1000.0 / perCall;
 }
 
-CallClass classOfAdapter(std::uint32_t adapter)
+CallClass callClassOf(std::uint32_t adapter)
 {
     switch (adapter % 10) {
     case 0:
@@ -173,68 +173,68 @@
     }
 }
 
-Site siteOf(Deployment deployment)
+DeploymentSpec specOf(Deployment deployment)
 {
-    Site site;
+    DeploymentSpec spec;
     switch (deployment) {
     case Deployment::Utac:
-        site.engines = 9;
-        site.loadRate = 2.0;
-        site.networkDelay = Duration(1500);
-        site.deadline = Seconds(120);
-        site.jobShare = 0.85;
-        // A fixed fleet with more work than it can do: batches are full if the decisions fill them.
-        site.callsPerSecond = 1.1 * site.engineCapacity();
+        spec.engines = 9;
+        spec.loadRate = 2.0;
+        spec.networkDelay = Duration(1500);
+        spec.deadline = Seconds(120);
+        spec.jobShare = 0.85;
+        // More work than the fixed fleet can process, so that batches can always be filled.
+        spec.callsPerSecond = 1.1 * spec.engineCapacity();
         break;
     case Deployment::Fleet:
-        site.dataCentres = 1;
-        site.engines = 180;
-        site.services = 0;
-        site.entries = 16;
-        site.adapters = 140'000;
-        site.loadRate = 40.0;
-        site.callsPerSecond = 120.0;
-        site.serviceCallsPerSecond = 0.0;
-        site.networkDelay = Duration(500);
-        site.deadline = Seconds(60);
+        spec.dataCentres = 1;
+        spec.engines = 180;
+        spec.services = 0;
+        spec.entries = 16;
+        spec.adapters = 140'000;
+        spec.loadRate = 40.0;
+        spec.callsPerSecond = 120.0;
+        spec.serviceCallsPerSecond = 0.0;
+        spec.networkDelay = Duration(500);
+        spec.deadline = Seconds(60);
         break;
     default:
-        site.networkDelay = Duration(1000);
-        site.deadline = Seconds(60);
+        spec.networkDelay = Duration(1000);
+        spec.deadline = Seconds(60);
         break;
     }
-    return site;
+    return spec;
 }
 
-Trace makeTrace(const Site &site, Deployment deployment, Scenario scenario, std::uint64_t seed)
+Trace makeTrace(const DeploymentSpec &spec, Deployment deployment, Scenario scenario, std::uint64_t seed)
 {
     Trace trace;
-    trace.site = site;
+    trace.spec = spec;
     trace.scenario = scenario;
-    trace.measureFrom = Seconds(60);
-    trace.disturbanceFrom = Seconds(120);
-    trace.disturbanceUntil = Seconds(180);
+    trace.warmUpUntil = Seconds(60);
+    trace.disturbanceStart = Seconds(120);
+    trace.disturbanceEnd = Seconds(180);
     trace.length = deployment == Deployment::Fleet ? Seconds(240) : Seconds(360);
     trace.callersRetry = scenario == Scenario::Storm;
-    const bool pulse = scenario == Scenario::Overload || scenario == Scenario::Storm;
-    if (pulse) {
-        trace.disturbanceUntil = trace.disturbanceFrom + overloadPulse;
-        trace.length = trace.disturbanceUntil + Seconds(420);
-        trace.site.deadline = Seconds(120);
+    const bool isPulse = scenario == Scenario::Overload || scenario == Scenario::Storm;
+    if (isPulse) {
+        trace.disturbanceEnd = trace.disturbanceStart + overloadDuration;
+        trace.length = trace.disturbanceEnd + Seconds(420);
+        trace.spec.deadline = Seconds(120);
     }
     Random random(seed * 7919 + 17);
-    Popularity popularity(trace.site.adapters, trace.site.zipf, random);
+    Popularity popularity(trace.spec.adapters, trace.spec.zipf, random);
     Duration at{};
-    bool shifted = false;
+    bool hasShifted = false;
     while (true) {
-        const double total = rateAt(trace, at) / callsPerArrival(trace.site) + trace.site.serviceCallsPerSecond;
+        const double total = rateAt(trace, at) / callsPerArrival(trace.spec) + trace.spec.serviceCallsPerSecond;
         at += Duration(static_cast<std::int64_t>(random.exponential(1e6 / total)));
         if (at >= trace.length) {
             break;
         }
-        if (scenario == Scenario::Shift && !shifted && at >= trace.disturbanceFrom) {
+        if (scenario == Scenario::Shift && !hasShifted && at >= trace.disturbanceStart) {
             popularity.shift(0.5, random);
-            shifted = true;
+            hasShifted = true;
         }
         addCalls(trace, at, popularity, random);
     }
--- a/bench/policybench/scenario.h
+++ b/bench/policybench/scenario.h
@@ -1,4 +1,4 @@
-// Deployments, scenarios and the seeded trace of calls that both versions serve.
+// Deployments, scenarios and seeded call traces.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -11,19 +11,19 @@
 enum class Deployment : std::uint8_t {
     Authority,
     Utac,
-    Fleet, ///< one data centre of the size that is expected in two years
+    Fleet, ///< one data centre at its expected size in two years
     Count
 };
 
 enum class Scenario : std::uint8_t {
     Steady,
-    Shift, ///< popularity is drawn anew for half of the calls at once
-    Flash, ///< a crowd on one cold adapter
-    Restart, ///< engines restart with a cold start, one after the other
-    Overload, ///< 2.7 times capacity for 107 s, then 0.6
-    Storm, ///< as Overload, and callers repeat what timed out
-    KvDown, ///< the scheduler's lease is lost for a while
-    SlowStore, ///< the weight store gives a quarter of its rate and refuses some loads
+    Shift, ///< popularity ranks change abruptly
+    Flash, ///< flash crowd on one cold adapter
+    Restart, ///< engines restart one after the other, with a cold start
+    Overload, ///< 2.7 times capacity for 107 s, then 0.6 times
+    Storm, ///< like Overload, with callers that retry failed calls
+    KvDown, ///< the scheduler temporarily loses its lease
+    SlowStore, ///< the weight store has a quarter of its rate and refuses some loads
     Count
 };
 
@@ -43,7 +43,7 @@
 
 namespace anvilscale::bench {
 
-/// Cost of one engine step. Source: shapes of published continuous-batching engines, not a measurement of one.
+/// Cost model of one engine step, in the shape of published continuous-batching engines.
 struct StepCost
 {
     double baseMs = 18.0;
@@ -52,7 +52,7 @@
     double perPromptTokenMs = 0.02;
 };
 
-struct Site
+struct DeploymentSpec
 {
     std::uint32_t dataCentres = 3;
     std::uint32_t engines = 18;
@@ -63,27 +63,27 @@
     std::uint32_t batch = 16;
     double loadRate = 4.0;
     double zipf = 1.2;
-    double callsPerSecond = 8.0; ///< in scenarios that are not given in parts of the capacity
-    double jobShare = 0.0; ///< part of the calls that come in jobs: many calls of one adapter at once
-    double jobSize = 24.0; ///< mean calls of a job
+    double callsPerSecond = 8.0; ///< for scenarios with an absolute call rate
+    double jobShare = 0.0; ///< share of calls that arrive in jobs, i.e. bursts for one adapter
+    double jobSize = 24.0; ///< mean number of calls per job
     double serviceCallsPerSecond = 2.0;
     double promptTokens = 400.0;
-    double outputTokens = 150.0; ///< median of a lognormal
+    double outputTokens = 150.0; ///< median of a lognormal distribution
     Duration networkDelay{};
     Duration deadline{};
     StepCost cost;
-    /// Calls a second that the engines finish with full batches of all their slots' adapters.
+    /// Calls per second that the engines complete with full batches over all slots.
     double engineCapacity() const;
-    /// The lesser of engineCapacity() and what the weight store carries if the most popular adapters fill all slots
-    /// and each arrival for another one costs a load.
+    /// Minimum of engineCapacity() and the call rate the weight store sustains if the most popular adapters occupy all
+    /// slots and every other arrival needs a load.
     double capacity() const;
 };
 
 struct TraceCall
 {
     Duration at{};
-    std::uint32_t adapter = 0; ///< rank number; ignored for a service call
-    bool service = false;
+    std::uint32_t adapter = 0; ///< adapter index; ignored for a service call
+    bool isService = false;
     CallClass callClass = CallClass::Normal;
     std::uint32_t caller = 0;
     std::uint32_t promptTokens = 0;
@@ -92,18 +92,18 @@
 
 struct Trace
 {
-    Site site;
+    DeploymentSpec spec;
     Scenario scenario = Scenario::Steady;
     Duration length{};
-    Duration measureFrom{}; ///< before it the fleet warms up; these calls are not measured
-    Duration disturbanceFrom{};
-    Duration disturbanceUntil{};
+    Duration warmUpUntil{}; ///< end of the warm-up; earlier calls are not measured
+    Duration disturbanceStart{};
+    Duration disturbanceEnd{};
     bool callersRetry = false;
-    std::vector<TraceCall> calls; ///< in order of time
+    std::vector<TraceCall> calls; ///< sorted by time
 };
 
-Site siteOf(Deployment deployment);
-Trace makeTrace(const Site &site, Deployment deployment, Scenario scenario, std::uint64_t seed);
-CallClass classOfAdapter(std::uint32_t adapter);
+DeploymentSpec specOf(Deployment deployment);
+Trace makeTrace(const DeploymentSpec &spec, Deployment deployment, Scenario scenario, std::uint64_t seed);
+CallClass callClassOf(std::uint32_t adapter);
 
 } // namespace anvilscale::bench
--- a/bench/slopes/fleet_messages.cpp
+++ b/bench/slopes/fleet_messages.cpp
@@ -1,4 +1,4 @@
-// Heartbeats as a sidecar of a busy engine sends them.
+// Messages and members of a synthetic data centre with busy engines.
 #include "fleet_messages.h"
 
 #include "fleet_records.h"
@@ -18,7 +18,7 @@
     entry->set_pins(2);
 }
 
-wire::Envelope heartbeat(std::size_t i, std::uint64_t sequence, const ConfigStore &config)
+wire::Envelope makeHeartbeat(std::size_t i, std::uint64_t sequence, const ConfigStore &config)
 {
     wire::Envelope envelope;
     envelope.set_protocol(wireProtocol);
@@ -30,7 +30,7 @@
     beat.set_endpoint_kind("engine");
     beat.set_engine_incarnation(1);
     beat.set_sequence(sequence);
-    beat.set_slots(slotsEach);
+    beat.set_slots(slotsPerSidecar);
     beat.set_running(12);
     beat.set_batch_limit(64);
     beat.set_step_fill_permille(700);
@@ -61,26 +61,26 @@
     return member;
 }
 
-wire::Envelope fullHeartbeat(std::size_t i, const ConfigStore &config)
+wire::Envelope makeFullHeartbeat(std::size_t i, const ConfigStore &config)
 {
-    wire::Envelope envelope = heartbeat(i, 1, config);
+    wire::Envelope envelope = makeHeartbeat(i, 1, config);
     envelope.mutable_heartbeat()->set_full(true);
-    for (std::size_t slot = 0; slot < slotsEach; ++slot) {
-        addAdapter(*envelope.mutable_heartbeat(), i * slotsEach + slot, ResidencyState::Resident);
+    for (std::size_t slot = 0; slot < slotsPerSidecar; ++slot) {
+        addAdapter(*envelope.mutable_heartbeat(), i * slotsPerSidecar + slot, ResidencyState::Resident);
     }
     return envelope;
 }
 
-wire::Envelope deltaHeartbeat(std::size_t i, std::uint64_t sequence, std::size_t changed, const ConfigStore &config)
+wire::Envelope makeDeltaHeartbeat(std::size_t i, std::uint64_t sequence, std::size_t changed, const ConfigStore &config)
 {
-    wire::Envelope envelope = heartbeat(i, sequence, config);
+    wire::Envelope envelope = makeHeartbeat(i, sequence, config);
     for (std::size_t slot = 0; slot < changed; ++slot) {
-        addAdapter(*envelope.mutable_heartbeat(), i * slotsEach + slot, ResidencyState::Resident);
+        addAdapter(*envelope.mutable_heartbeat(), i * slotsPerSidecar + slot, ResidencyState::Resident);
     }
     return envelope;
 }
 
-wire::Envelope beatMessage(std::uint64_t sequence)
+wire::Envelope makeBeat(std::uint64_t sequence)
 {
     wire::Envelope envelope;
     envelope.set_protocol(wireProtocol);
@@ -95,7 +95,7 @@
     return envelope;
 }
 
-wire::Envelope helloMessage(const ConfigStore &config)
+wire::Envelope makeHello(const ConfigStore &config)
 {
     wire::Envelope envelope;
     envelope.set_protocol(wireProtocol);
--- a/bench/slopes/fleet_messages.h
+++ b/bench/slopes/fleet_messages.h
@@ -1,4 +1,4 @@
-// Members and heartbeats of a made-up data centre, for measuring.
+// Members and messages of a synthetic data centre.
 #pragma once
 
 #include "wire.pb.h"
@@ -11,17 +11,18 @@
 
 namespace anvilscale::slopes {
 
-constexpr std::size_t slotsEach = 8;
+constexpr std::size_t slotsPerSidecar = 8;
 
 std::string sidecarName(std::size_t i);
 Member sidecarMember(std::size_t i);
-/// The whole state of sidecar `i`: all slots hold adapters, no two sidecars the same.
-wire::Envelope fullHeartbeat(std::size_t i, const ConfigStore &config);
-/// A delta with the given number of adapters that changed.
-wire::Envelope deltaHeartbeat(std::size_t i, std::uint64_t sequence, std::size_t changed, const ConfigStore &config);
-/// The load alone.
-wire::Envelope beatMessage(std::uint64_t sequence);
-/// What an entry says to a sidecar now and then.
-wire::Envelope helloMessage(const ConfigStore &config);
+/// Full heartbeat of sidecar `i`, with all slots occupied by adapters unique to it.
+wire::Envelope makeFullHeartbeat(std::size_t i, const ConfigStore &config);
+/// Delta heartbeat with the given number of changed adapters.
+wire::Envelope makeDeltaHeartbeat(std::size_t i, std::uint64_t sequence, std::size_t changed,
+                                  const ConfigStore &config);
+/// Beat with load figures only.
+wire::Envelope makeBeat(std::uint64_t sequence);
+/// Hello that an entry sends to a sidecar periodically.
+wire::Envelope makeHello(const ConfigStore &config);
 
 } // namespace anvilscale::slopes
--- a/bench/slopes/fleet_records.cpp
+++ b/bench/slopes/fleet_records.cpp
@@ -1,4 +1,4 @@
-// Records as an operator would write them: names of usual length, one route for each adapter.
+// Configuration records of a synthetic fleet, with realistic name lengths and one route per adapter.
 #include "fleet_records.h"
 
 #include "anvilscale/state.h"
@@ -10,11 +10,11 @@
 
 namespace {
 
-config::Change parsed(const std::string &json)
+config::Change parseOrExit(const std::string &json)
 {
     auto change = parseRecord(json);
     if (!change) {
-        std::fprintf(stderr, "record refused: %s %s\n", change.error().path.c_str(), change.error().detail.c_str());
+        std::fprintf(stderr, "record rejected: %s %s\n", change.error().path.c_str(), change.error().detail.c_str());
         std::exit(1);
     }
     return std::move(*change);
@@ -32,7 +32,7 @@
     return "desk-" + std::to_string(i) + "-mn";
 }
 
-config::Delta adapterDelta(std::size_t i, std::uint64_t revision, const std::string &version)
+config::Delta makeAdapterDelta(std::size_t i, std::uint64_t revision, const std::string &version)
 {
     const std::string name = adapterName(i);
     config::Delta delta;
@@ -40,11 +40,12 @@
     delta.set_change_id("change-" + std::to_string(revision));
     delta.set_author("slopes");
     *delta.add_changes() =
-        parsed(R"({"schemaVersion":2,"name":")" + name
-               + R"(","adapter":{"baseModel":"base-70b","versions":[{"name":"v1","weights":"store://)" + name
-               + R"(/v1"},{"name":"v2","weights":"store://)" + name + R"(/v2"}]}})");
-    *delta.add_changes() = parsed(R"({"schemaVersion":2,"name":")" + routeName(i) + R"(","route":{"adapter":")" + name
-                                  + R"(","version":")" + version + R"(","deadlineMs":4000,"callClass":"normal"}})");
+        parseOrExit(R"({"schemaVersion":2,"name":")" + name
+                    + R"(","adapter":{"baseModel":"base-70b","versions":[{"name":"v1","weights":"store://)" + name
+                    + R"(/v1"},{"name":"v2","weights":"store://)" + name + R"(/v2"}]}})");
+    *delta.add_changes() =
+        parseOrExit(R"({"schemaVersion":2,"name":")" + routeName(i) + R"(","route":{"adapter":")" + name
+                    + R"(","version":")" + version + R"(","deadlineMs":4000,"callClass":"normal"}})");
     return delta;
 }
 
--- a/bench/slopes/fleet_records.h
+++ b/bench/slopes/fleet_records.h
@@ -1,4 +1,4 @@
-// Configuration records of a made-up fleet, for measuring.
+// Configuration records of a synthetic fleet.
 #pragma once
 
 #include "config.pb.h"
@@ -10,7 +10,7 @@
 
 std::string adapterName(std::size_t i);
 std::string routeName(std::size_t i);
-/// An adapter record and the route to it.
-config::Delta adapterDelta(std::size_t i, std::uint64_t revision, const std::string &version = "v1");
+/// Returns a delta with adapter `i` and its route.
+config::Delta makeAdapterDelta(std::size_t i, std::uint64_t revision, const std::string &version = "v1");
 
 } // namespace anvilscale::slopes
--- a/bench/slopes/keys_slopes.cpp
+++ b/bench/slopes/keys_slopes.cpp
@@ -1,4 +1,4 @@
-// Slopes of the seen keys: bytes per key, time per decision.
+// Idempotency key slopes: memory per key and CPU time per decision.
 #include "slopes.h"
 
 #include "anvilscale/state.h"
@@ -7,27 +7,27 @@
 
 void measureKeys(Report &report)
 {
-    constexpr std::int64_t start = 1'800'000'000'000;
+    constexpr std::int64_t startMs = 1'800'000'000'000;
     const ServiceView service;
     for (const std::size_t count : report.keySizes) {
         Random random(3);
-        const Now now{TimePoint(Seconds(10)), WallTime{start}};
-        std::vector<std::string> made(count);
-        for (auto &key : made) {
+        const Now now{TimePoint(Seconds(10)), WallTime{startMs}};
+        std::vector<std::string> generatedKeys(count);
+        for (auto &key : generatedKeys) {
             key = makeKey(now.wall, random);
         }
         const std::size_t before = heapBytes();
         SeenKeys keys({.keys = count, .answerBytes = 0});
-        const double each = microsEach(count, [&](std::size_t i) {
+        const double meanMicros = meanCpuMicros(count, [&](std::size_t i) {
             const KeyDecision decision =
-                keys.admit(made[i], i, service, WallTime{start - 1000}, ExecutionHandle{i + 1}, now);
+                keys.admit(generatedKeys[i], i, service, WallTime{startMs - 1000}, ExecutionHandle{i + 1}, now);
             if (decision.kind == KeyDecisionKind::Run) {
-                keys.finish(made[i], KeptAnswer{CallOutcome::Complete, FailureReason::None, 200, {}, ""}, now);
+                keys.finish(generatedKeys[i], KeptAnswer{CallOutcome::Complete, FailureReason::None, 200, {}, ""}, now);
             }
         });
         const auto size = static_cast<double>(count);
-        report.add("keys.state", "bytes", "keys", {size, static_cast<double>(heapBytes() - before)});
-        report.addCost("keys.admit_and_finish", "us", "keys", {size, each});
+        report.addPoint("keys.state", "bytes", "keys", {size, static_cast<double>(heapBytes() - before)});
+        report.addCost("keys.admit_and_finish", "us", "keys", {size, meanMicros});
     }
 }
 
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -1,5 +1,5 @@
-// slopes: how memory, processor time and messages of each role grow with the fleet. Every figure of
-// docs/CAPACITY.md comes from here: slopes --page prints its tables, --json the measured points.
+// slopes: measures how memory, CPU time and messages of each role grow with the fleet. `--page` prints the tables of
+// docs/CAPACITY.md, `--json` the measured points.
 #include "slopes.h"
 
 #include <cxxopts.hpp>
@@ -9,16 +9,16 @@
 int main(int argc, char **argv)
 {
     using namespace anvilscale::slopes;
-    cxxopts::Options options("slopes", "Measures slopes of memory, processor time and messages.");
+    cxxopts::Options options("slopes", "Measures slopes of memory, CPU time and messages.");
     options.add_options()("json", "print the measured points")("page", "print the tables of the capacity page")(
-        "quick", "small sizes, to see that it works")("help", "print this help");
-    const auto given = options.parse(argc, argv);
-    if (given.count("help") != 0) {
+        "quick", "small sizes, as a smoke test")("help", "print this help");
+    const auto parsed = options.parse(argc, argv);
+    if (parsed.count("help") != 0) {
         std::cout << options.help();
         return 0;
     }
     Report report;
-    if (given.count("quick") != 0) {
+    if (parsed.count("quick") != 0) {
         report.adapterSizes = {100, 200, 400};
         report.sidecarSizes = {5, 10, 20};
         report.fleetSizes = {10, 20, 40};
@@ -30,6 +30,6 @@
     measureSidecar(report);
     measureScheduler(report);
     measureKeyValueCalls(report);
-    std::cout << (given.count("page") != 0 ? toPage(report) : toJson(report));
+    std::cout << (parsed.count("page") != 0 ? toPage(report) : toJson(report));
     return 0;
 }
--- a/bench/slopes/probe.cpp
+++ b/bench/slopes/probe.cpp
@@ -1,4 +1,4 @@
-// Heap accounting by replaced operator new, processor time by the thread's clock.
+// Heap accounting through replaced operator new and delete, CPU time and line fitting.
 #include "probe.h"
 
 #include <malloc.h>
@@ -13,8 +13,8 @@
 
 namespace {
 
-std::atomic<std::size_t> inUse{0};
-constexpr std::size_t blockOverhead = 8; // glibc's header in front of each block
+std::atomic<std::size_t> heapBytesInUse{0};
+constexpr std::size_t blockOverhead = 8; // header of each glibc heap block
 
 void *countedAlloc(std::size_t size)
 {
@@ -22,14 +22,14 @@
     if (block == nullptr) {
         throw std::bad_alloc();
     }
-    inUse += malloc_usable_size(block) + blockOverhead;
+    heapBytesInUse += malloc_usable_size(block) + blockOverhead;
     return block;
 }
 
 void countedFree(void *block) noexcept
 {
     if (block != nullptr) {
-        inUse -= malloc_usable_size(block) + blockOverhead;
+        heapBytesInUse -= malloc_usable_size(block) + blockOverhead;
         std::free(block);
     }
 }
@@ -44,7 +44,7 @@
 {
     return countedAlloc(size);
 }
-// The library's nothrow form would be the sanitizer's own in a sanitized build, while delete is ours.
+// Replaced too, since a sanitized build would otherwise pair the sanitizer's nothrow new with this delete.
 void *operator new(std::size_t size, const std::nothrow_t &) noexcept
 {
     try {
@@ -76,7 +76,7 @@
 
 namespace anvilscale::slopes {
 
-void require(bool ok, const char *what)
+void requireThat(bool ok, const char *what)
 {
     if (!ok) {
         std::fprintf(stderr, "slopes: %s\n", what);
@@ -86,50 +86,50 @@
 
 std::size_t heapBytes()
 {
-    return inUse.load();
+    return heapBytesInUse.load();
 }
 
-double threadMicros()
+double threadCpuMicros()
 {
     timespec time{};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
     return static_cast<double>(time.tv_sec) * 1e6 + static_cast<double>(time.tv_nsec) / 1e3;
 }
 
-double microsEach(std::size_t count, const std::function<void(std::size_t)> &step)
+double meanCpuMicros(std::size_t count, const std::function<void(std::size_t)> &step)
 {
-    const double before = threadMicros();
+    const double before = threadCpuMicros();
     for (std::size_t i = 0; i < count; ++i) {
         step(i);
     }
-    return (threadMicros() - before) / static_cast<double>(count);
+    return (threadCpuMicros() - before) / static_cast<double>(count);
 }
 
-Line fit(const std::vector<Point> &points)
+LinearFit fit(const std::vector<Point> &points)
 {
-    Line line;
-    const auto n = static_cast<double>(points.size());
-    double sx = 0.0;
-    double sy = 0.0;
-    double sxx = 0.0;
-    double sxy = 0.0;
-    for (const Point &p : points) {
-        sx += p.size;
-        sy += p.value;
-        sxx += p.size * p.size;
-        sxy += p.size * p.value;
+    LinearFit line;
+    const auto count = static_cast<double>(points.size());
+    double sumX = 0.0;
+    double sumY = 0.0;
+    double sumXX = 0.0;
+    double sumXY = 0.0;
+    for (const Point &point : points) {
+        sumX += point.size;
+        sumY += point.value;
+        sumXX += point.size * point.size;
+        sumXY += point.size * point.value;
     }
-    line.perUnit = (n * sxy - sx * sy) / (n * sxx - sx * sx);
-    line.fixed = (sy - line.perUnit * sx) / n;
-    for (const Point &p : points) {
-        const double miss = std::fabs(line.perUnit * p.size + line.fixed - p.value);
-        line.worst = std::max(line.worst, p.value > 0 ? miss / p.value : 0.0);
+    line.slope = (count * sumXY - sumX * sumY) / (count * sumXX - sumX * sumX);
+    line.intercept = (sumY - line.slope * sumX) / count;
+    for (const Point &point : points) {
+        const double deviation = std::fabs(line.slope * point.size + line.intercept - point.value);
+        line.maxRelativeError = std::max(line.maxRelativeError, point.value > 0 ? deviation / point.value : 0.0);
     }
-    const auto segment = [&points](std::size_t i) {
+    const auto segmentSlope = [&points](std::size_t i) {
         return (points[i + 1].value - points[i].value) / (points[i + 1].size - points[i].size);
     };
-    constexpr double tolerance = 1.5; // measuring noise, and hash tables that double between two points
-    line.linearOrBetter = segment(points.size() - 2) <= segment(0) * tolerance;
+    constexpr double tolerance = 1.5; // allows for noise and for hash tables that double between two points
+    line.isLinearOrBetter = segmentSlope(points.size() - 2) <= segmentSlope(0) * tolerance;
     return line;
 }
 
--- a/bench/slopes/probe.h
+++ b/bench/slopes/probe.h
@@ -1,5 +1,4 @@
-// What a measurement is made with: heap bytes in use, processor time of this thread, and a straight line through
-// the measured points.
+// Measurement helpers: heap usage, thread CPU time and linear fits.
 #pragma once
 
 #include <cstddef>
@@ -10,13 +9,13 @@
 
 namespace anvilscale::slopes {
 
-/// Ends the program with the message if a measurement is not of what it claims to be.
-void require(bool ok, const char *what);
+/// Exits with an error message if a precondition of a measurement does not hold.
+void requireThat(bool ok, const char *what);
 
-/// Bytes of the heap in use now, allocator overhead included.
+/// Heap bytes in use, including allocator overhead.
 std::size_t heapBytes();
-/// Processor time of this thread, in microseconds.
-double threadMicros();
+/// CPU time of this thread in microseconds.
+double threadCpuMicros();
 
 struct Point
 {
@@ -24,28 +23,28 @@
     double value;
 };
 
-/// Least squares through the points. `worst` is the largest distance of a point from the line, over the point's
-/// value; a slope whose last segment is not steeper than the first is "linear or better".
-struct Line
+/// Least-squares line. `maxRelativeError` is the largest deviation of a point relative to its value; growth is linear
+/// or better if the last segment is not steeper than the first, within a tolerance.
+struct LinearFit
 {
-    double perUnit = 0.0;
-    double fixed = 0.0;
-    double worst = 0.0;
-    bool linearOrBetter = false;
+    double slope = 0.0;
+    double intercept = 0.0;
+    double maxRelativeError = 0.0;
+    bool isLinearOrBetter = false;
 };
-Line fit(const std::vector<Point> &points);
+LinearFit fit(const std::vector<Point> &points);
 
-/// One measured quantity over its sizes.
+/// Measured values of one quantity by size.
 struct Series
 {
-    std::string name; ///< e.g. "config.bytes_per_adapter"
-    std::string unit; ///< of a value: "bytes" or "us"
-    std::string over; ///< what the size counts
+    std::string name; ///< e.g. "config.state"
+    std::string unit; ///< unit of the values, e.g. "bytes" or "us"
+    std::string sizeUnit; ///< unit of the sizes, e.g. "adapters"
     std::vector<Point> points;
-    bool cumulative = true; ///< values grow with the size; else each value is a cost at that size
+    bool isCumulative = true; ///< true if values grow with the size, false for a cost at each size
 };
 
-/// Calls `step` for each number below `count` and returns the processor time of one call in microseconds.
-double microsEach(std::size_t count, const std::function<void(std::size_t)> &step);
+/// Calls `step` with 0 to `count` - 1 and returns the mean CPU time per call in microseconds.
+double meanCpuMicros(std::size_t count, const std::function<void(std::size_t)> &step);
 
 } // namespace anvilscale::slopes
--- a/bench/slopes/report.cpp
+++ b/bench/slopes/report.cpp
@@ -1,4 +1,4 @@
-// Collects what was measured and prints it as JSON.
+// Collects measurements and formats them as JSON.
 #include "slopes.h"
 
 #include <cstdio>
@@ -7,18 +7,18 @@
 
 namespace {
 
-void appendPoint(Report &report, const std::string &name, const std::string &unit, const std::string &over, Point point,
-                 bool cumulative)
+void appendPoint(Report &report, const std::string &name, const std::string &unit, const std::string &sizeUnit,
+                 Point point, bool isCumulative)
 {
     Series &series = report.series[name];
     series.name = name;
     series.unit = unit;
-    series.over = over;
-    series.cumulative = cumulative;
+    series.sizeUnit = sizeUnit;
+    series.isCumulative = isCumulative;
     series.points.push_back(point);
 }
 
-std::string number(double value)
+std::string formatNumber(double value)
 {
     char text[32];
     std::snprintf(text, sizeof text, "%.6g", value);
@@ -30,19 +30,19 @@
     std::string out = "[";
     for (const Point &point : series.points) {
         out += out.size() > 1 ? "," : "";
-        out += "[" + number(point.size) + "," + number(point.value) + "]";
+        out += "[" + formatNumber(point.size) + "," + formatNumber(point.value) + "]";
     }
     return out + "]";
 }
 
 std::string seriesJson(const Series &series)
 {
-    std::string out = "{\"unit\":\"" + series.unit + "\",\"over\":\"" + series.over + "\",\"points\":";
+    std::string out = "{\"unit\":\"" + series.unit + "\",\"over\":\"" + series.sizeUnit + "\",\"points\":";
     out += pointsJson(series);
-    if (series.cumulative && series.points.size() > 1) {
-        const Line line = fit(series.points);
-        out += ",\"perUnit\":" + number(line.perUnit) + ",\"fixed\":" + number(line.fixed);
-        out += std::string(",\"linearOrBetter\":") + (line.linearOrBetter ? "true" : "false");
+    if (series.isCumulative && series.points.size() > 1) {
+        const LinearFit line = fit(series.points);
+        out += ",\"perUnit\":" + formatNumber(line.slope) + ",\"fixed\":" + formatNumber(line.intercept);
+        out += std::string(",\"linearOrBetter\":") + (line.isLinearOrBetter ? "true" : "false");
     }
     return out + "}";
 }
@@ -52,29 +52,29 @@
     std::string out = "{";
     for (const auto &[name, value] : values) {
         out += out.size() > 1 ? "," : "";
-        out += "\"" + name + "\":" + number(value);
+        out += "\"" + name + "\":" + formatNumber(value);
     }
     return out + "}";
 }
 
 } // namespace
 
-void Report::add(const std::string &name, const std::string &unit, const std::string &over, Point point)
+void Report::addPoint(const std::string &name, const std::string &unit, const std::string &sizeUnit, Point point)
 {
-    appendPoint(*this, name, unit, over, point, true);
+    appendPoint(*this, name, unit, sizeUnit, point, true);
 }
 
-void Report::addCost(const std::string &name, const std::string &unit, const std::string &over, Point point)
+void Report::addCost(const std::string &name, const std::string &unit, const std::string &sizeUnit, Point point)
 {
-    appendPoint(*this, name, unit, over, point, false);
+    appendPoint(*this, name, unit, sizeUnit, point, false);
 }
 
-void Report::message(const std::string &name, std::size_t bytes)
+void Report::addMessageSize(const std::string &name, std::size_t bytes)
 {
-    messages[name] = static_cast<double>(bytes);
+    messageSizes[name] = static_cast<double>(bytes);
 }
 
-void Report::rate(const std::string &name, double value)
+void Report::addRate(const std::string &name, double value)
 {
     rates[name] = value;
 }
@@ -88,7 +88,7 @@
         out += "\n  \"" + name + "\":" + seriesJson(series);
         first = false;
     }
-    out += "\n },\n \"messages\":" + mapJson(report.messages);
+    out += "\n },\n \"messages\":" + mapJson(report.messageSizes);
     out += ",\n \"rates\":" + mapJson(report.rates) + "}\n";
     return out;
 }
--- a/bench/slopes/scheduler_slopes.cpp
+++ b/bench/slopes/scheduler_slopes.cpp
@@ -1,4 +1,4 @@
-// Slopes of the load scheduler: bytes per sidecar with a demand, time per heartbeat that carries one.
+// Load scheduler slopes: memory per sidecar with a demand and CPU time per heartbeat with a demand.
 #include "fleet_messages.h"
 #include "fleet_records.h"
 #include "slopes.h"
@@ -9,9 +9,10 @@
 
 namespace {
 
-wire::Heartbeat withDemand(std::size_t i, std::uint64_t sequence, std::size_t adapter, const ConfigStore &config)
+wire::Heartbeat makeHeartbeatWithDemand(std::size_t i, std::uint64_t sequence, std::size_t adapter,
+                                        const ConfigStore &config)
 {
-    wire::Heartbeat beat = deltaHeartbeat(i, sequence, 0, config).heartbeat();
+    wire::Heartbeat beat = makeDeltaHeartbeat(i, sequence, 0, config).heartbeat();
     auto *demand = beat.add_demands();
     demand->set_adapter(adapterName(adapter));
     demand->set_version("v1");
@@ -24,7 +25,7 @@
     return beat;
 }
 
-Now at(std::size_t step)
+Now timeAt(std::size_t step)
 {
     return {TimePoint(Seconds(100) + Milliseconds(static_cast<std::int64_t>(step))), WallTime{1'800'000'000'000}};
 }
@@ -35,7 +36,7 @@
 {
     constexpr std::uint64_t fence = 7;
     ConfigStore config;
-    static_cast<void>(config.apply(adapterDelta(0, 1)));
+    static_cast<void>(config.apply(makeAdapterDelta(0, 1)));
     for (const std::size_t sidecars : report.fleetSizes) {
         TimerService timers;
         const std::size_t before = heapBytes();
@@ -43,24 +44,24 @@
             {.name = "hall-east-entry-1", .incarnation = 1, .config = &config, .timers = &timers},
             [](TimePoint) { return true; }, [] { return fence; });
         for (std::size_t i = 0; i < sidecars; ++i) {
-            scheduler.onMember(sidecarMember(i), at(0));
-            scheduler.onHeartbeat(fullHeartbeat(i, config).heartbeat(), at(0));
-            scheduler.onHeartbeat(withDemand(i, 2, i + sidecars * slotsEach, config), at(0));
+            scheduler.onMember(sidecarMember(i), timeAt(0));
+            scheduler.onHeartbeat(makeFullHeartbeat(i, config).heartbeat(), timeAt(0));
+            scheduler.onHeartbeat(makeHeartbeatWithDemand(i, 2, i + sidecars * slotsPerSidecar, config), timeAt(0));
         }
         static_cast<void>(scheduler.takeActions());
         const auto size = static_cast<double>(sidecars);
-        report.add("scheduler.state", "bytes", "sidecars", {size, static_cast<double>(heapBytes() - before)});
-        std::vector<wire::Heartbeat> beats;
+        report.addPoint("scheduler.state", "bytes", "sidecars", {size, static_cast<double>(heapBytes() - before)});
+        std::vector<wire::Heartbeat> heartbeats;
         for (std::size_t i = 0; i < sidecars; ++i) {
-            beats.push_back(withDemand(i, 3, i + sidecars * slotsEach, config));
+            heartbeats.push_back(makeHeartbeatWithDemand(i, 3, i + sidecars * slotsPerSidecar, config));
         }
-        const double each = microsEach(sidecars, [&](std::size_t i) {
-            scheduler.onHeartbeat(beats[i], at(i));
-            timers.advance(at(i).mono);
+        const double meanMicros = meanCpuMicros(sidecars, [&](std::size_t i) {
+            scheduler.onHeartbeat(heartbeats[i], timeAt(i));
+            timers.advance(timeAt(i).mono);
             static_cast<void>(scheduler.takeActions());
         });
-        report.addCost("scheduler.heartbeat_one_demand", "us", "sidecars", {size, each});
-        report.message("heartbeat_one_demand", beats.front().ByteSizeLong());
+        report.addCost("scheduler.heartbeat_one_demand", "us", "sidecars", {size, meanMicros});
+        report.addMessageSize("heartbeat_one_demand", heartbeats.front().ByteSizeLong());
     }
 }
 
--- a/bench/slopes/sidecar_slopes.cpp
+++ b/bench/slopes/sidecar_slopes.cpp
@@ -1,4 +1,4 @@
-// Figures of a sidecar: its state, a call's state and time, and the control bytes it sends in virtual time.
+// Sidecar measurements: memory, CPU time per call, and control traffic in virtual time.
 #include "fleet_messages.h"
 #include "fleet_records.h"
 #include "slopes.h"
@@ -9,15 +9,15 @@
 
 namespace {
 
-/// One sidecar beside an engine that obeys every order at once.
-class SidecarBench
+/// Drives one sidecar with an engine that completes every order immediately.
+class SidecarDriver
 {
 public:
-    explicit SidecarBench(const ConfigStore &config)
+    explicit SidecarDriver(const ConfigStore &config)
         : sidecar_(init(config, timers_))
     {
         sidecar_.start(now_);
-        settle();
+        processActions();
     }
 
     void addPeer(std::uint64_t peer)
@@ -28,10 +28,10 @@
         hello.mutable_hello()->mutable_from()->set_incarnation(1);
         hello.mutable_hello()->set_data_centre("hall-east");
         sidecar_.onMessage(PeerHandle{peer}, hello, now_);
-        settle();
+        processActions();
     }
 
-    /// So many sidecars are known to live: their receivers' budget is shared with them.
+    /// Sets the number of live sidecars, which share the traffic budget of their receivers.
     void setMembers(std::size_t count)
     {
         std::vector<Member> members;
@@ -39,10 +39,10 @@
             members.push_back(sidecarMember(i));
         }
         sidecar_.onMembers(members, now_);
-        settle();
+        processActions();
     }
 
-    void call(std::uint64_t number, std::size_t adapter, const ConfigStore &config)
+    void startCall(std::uint64_t number, std::size_t adapter, const ConfigStore &config)
     {
         wire::Envelope envelope;
         envelope.set_protocol(wireProtocol);
@@ -61,57 +61,57 @@
         request.set_path("/v1/completions");
         request.set_credit_bytes(1U << 20);
         sidecar_.onMessage(PeerHandle{1}, envelope, now_);
-        settle();
+        processActions();
     }
 
-    /// One call a second, each for fifteen seconds, over all resident adapters: the peak of the two-year size.
-    void work(Duration span, const ConfigStore &config)
+    /// Runs one call per second of 15 s each over all resident adapters, the peak load of the two-year size.
+    void runLoad(Duration duration, const ConfigStore &config)
     {
-        constexpr std::size_t atOnce = 15;
-        const TimePoint until = now_.mono + span;
-        while (now_.mono < until) {
+        constexpr std::size_t maxOpenCalls = 15;
+        const TimePoint endTime = now_.mono + duration;
+        while (now_.mono < endTime) {
             ++lastCall_;
-            call(lastCall_, lastCall_ % slotsEach, config);
+            startCall(lastCall_, lastCall_ % slotsPerSidecar, config);
             run(Seconds(1));
-            if (open_.size() > atOnce) {
-                const ExecutionHandle oldest = open_.front();
-                open_.erase(open_.begin());
+            if (openCalls_.size() > maxOpenCalls) {
+                const ExecutionHandle oldest = openCalls_.front();
+                openCalls_.erase(openCalls_.begin());
                 sidecar_.onExecutionEnded(oldest, {CallOutcome::Complete, FailureReason::None, 200, {}, ""}, 340, now_);
-                settle();
+                processActions();
             }
         }
-        endAll();
+        finishAllCalls();
     }
 
-    void endAll()
+    void finishAllCalls()
     {
-        const std::vector<ExecutionHandle> ended = std::move(open_);
-        open_.clear();
-        for (const ExecutionHandle execution : ended) {
+        const std::vector<ExecutionHandle> finished = std::move(openCalls_);
+        openCalls_.clear();
+        for (const ExecutionHandle execution : finished) {
             sidecar_.onExecutionEnded(execution, {CallOutcome::Complete, FailureReason::None, 200, {}, ""}, 340, now_);
-            settle();
+            processActions();
         }
     }
 
-    void run(Duration span)
+    void run(Duration duration)
     {
-        const TimePoint until = now_.mono + span;
-        while (timers_.next() && *timers_.next() <= until) {
+        const TimePoint endTime = now_.mono + duration;
+        while (timers_.next() && *timers_.next() <= endTime) {
             const Duration step = *timers_.next() - now_.mono;
             now_.mono += step;
             timers_.advance(now_.mono);
-            settle();
+            processActions();
         }
-        now_.mono = until;
+        now_.mono = endTime;
     }
 
     const SidecarStats &stats() const
     {
         return sidecar_.stats();
     }
-    std::size_t open() const
+    std::size_t openCallCount() const
     {
-        return open_.size();
+        return openCalls_.size();
     }
     std::size_t sentBytes() const
     {
@@ -130,19 +130,19 @@
         init.incarnation = 1;
         init.dataCentre = "hall-east";
         init.baseModel = "base-70b";
-        init.slots = slotsEach;
+        init.slots = slotsPerSidecar;
         init.batchLimit = 1024;
         init.config = &config;
         init.timers = &timers;
         return init;
     }
 
-    void settle()
+    void processActions()
     {
         for (auto actions = sidecar_.takeActions(); !actions.empty(); actions = sidecar_.takeActions()) {
             for (const SidecarAction &action : actions) {
-                std::visit(Overloaded{[this](const SendOrder &order) { obey(order); },
-                                      [this](const StartExecution &start) { open_.push_back(start.execution); },
+                std::visit(Overloaded{[this](const SendOrder &order) { executeOrder(order); },
+                                      [this](const StartExecution &start) { openCalls_.push_back(start.execution); },
                                       [this](const SendMessage &send) {
                                           sentBytes_ += send.message.ByteSizeLong();
                                           ++sentMessages_;
@@ -153,7 +153,7 @@
         }
     }
 
-    void obey(const SendOrder &order)
+    void executeOrder(const SendOrder &order)
     {
         if (order.kind == OrderKind::List) {
             sidecar_.onEngineList(order.order, EngineList{1, loaded_, {}, order.fence}, now_);
@@ -172,7 +172,7 @@
     Now now_{TimePoint(Seconds(100)), WallTime{1'800'000'000'000}};
     SidecarDecisions sidecar_;
     std::vector<AdapterVersion> loaded_;
-    std::vector<ExecutionHandle> open_;
+    std::vector<ExecutionHandle> openCalls_;
     std::size_t sentBytes_ = 0;
     std::size_t sentMessages_ = 0;
     std::uint64_t lastCall_ = 1'000'000;
@@ -182,60 +182,61 @@
 
 void measureSidecar(Report &report)
 {
-    constexpr std::uint64_t peers = 16; // entries of a data centre at the two-year size
+    constexpr std::uint64_t peerCount = 16; // entries per data centre at the two-year size
     constexpr std::size_t calls = 400;
-    constexpr auto warmUp = Seconds(300);
-    constexpr auto idleSpan = Seconds(300);
-    constexpr std::size_t membersAtScale = 177; // 3,900 over 22 data centres
+    constexpr auto warmUpDuration = Seconds(300);
+    constexpr auto idleDuration = Seconds(300);
+    constexpr std::size_t membersAtScale = 177; // 3,900 sidecars in 22 data centres
     ConfigStore config;
-    for (std::size_t i = 0; i < slotsEach; ++i) {
-        static_cast<void>(config.apply(adapterDelta(i, i + 1)));
+    for (std::size_t i = 0; i < slotsPerSidecar; ++i) {
+        static_cast<void>(config.apply(makeAdapterDelta(i, i + 1)));
     }
     const std::size_t before = heapBytes();
-    SidecarBench bench(config);
-    bench.run(warmUp);
-    report.rate("sidecar.state_bytes", static_cast<double>(heapBytes() - before));
-    for (std::uint64_t peer = 1; peer <= peers; ++peer) {
-        bench.addPeer(peer);
+    SidecarDriver driver(config);
+    driver.run(warmUpDuration);
+    report.addRate("sidecar.state_bytes", static_cast<double>(heapBytes() - before));
+    for (std::uint64_t peer = 1; peer <= peerCount; ++peer) {
+        driver.addPeer(peer);
     }
-    for (std::size_t i = 0; i < slotsEach; ++i) {
-        bench.call(i + 1, i, config);
-        bench.run(Seconds(10)); // a load may wait for its share of the rate
+    for (std::size_t i = 0; i < slotsPerSidecar; ++i) {
+        driver.startCall(i + 1, i, config);
+        driver.run(Seconds(10)); // a load may wait for the load rate limit
     }
-    bench.endAll();
-    bench.run(Seconds(10));
+    driver.finishAllCalls();
+    driver.run(Seconds(10));
 
-    report.rate("sidecar.peers", static_cast<double>(peers));
-    const auto seconds = static_cast<double>(idleSpan.count());
+    report.addRate("sidecar.peers", static_cast<double>(peerCount));
+    const auto seconds = static_cast<double>(idleDuration.count());
     for (const std::size_t members : {std::size_t{20}, membersAtScale}) {
-        bench.setMembers(members);
-        bench.run(Seconds(10));
-        const std::size_t bytesBefore = bench.sentBytes();
-        const std::size_t messagesBefore = bench.sentMessages();
-        const double started = threadMicros();
-        bench.run(idleSpan);
-        const double spent = threadMicros() - started;
+        driver.setMembers(members);
+        driver.run(Seconds(10));
+        const std::size_t bytesBefore = driver.sentBytes();
+        const std::size_t messagesBefore = driver.sentMessages();
+        const double startMicros = threadCpuMicros();
+        driver.run(idleDuration);
+        const double cpuMicros = threadCpuMicros() - startMicros;
         const auto size = static_cast<double>(members);
         report.addCost("sidecar.idle_bytes_per_peer", "B/s", "sidecars",
-                       {size, static_cast<double>(bench.sentBytes() - bytesBefore) / seconds / peers});
+                       {size, static_cast<double>(driver.sentBytes() - bytesBefore) / seconds / peerCount});
         report.addCost("sidecar.idle_messages_per_peer", "1/s", "sidecars",
-                       {size, static_cast<double>(bench.sentMessages() - messagesBefore) / seconds / peers});
-        report.rate("sidecar.idle_cpu_permille", spent / seconds / 1000.0);
-        const std::size_t busyBefore = bench.sentBytes();
-        bench.work(idleSpan, config);
+                       {size, static_cast<double>(driver.sentMessages() - messagesBefore) / seconds / peerCount});
+        report.addRate("sidecar.idle_cpu_permille", cpuMicros / seconds / 1000.0);
+        const std::size_t bytesBeforeLoad = driver.sentBytes();
+        driver.runLoad(idleDuration, config);
         report.addCost("sidecar.busy_bytes_per_peer", "B/s", "sidecars",
-                       {size, static_cast<double>(bench.sentBytes() - busyBefore) / seconds / peers});
-    }
-
-    const std::size_t empty = heapBytes();
-    const double each = microsEach(calls, [&](std::size_t i) { bench.call(100 + i, i % slotsEach, config); });
-    require(bench.open() == calls, "a call was not started");
-    report.rate("sidecar.open_call_bytes", static_cast<double>(heapBytes() - empty) / calls);
-    report.rate("sidecar.call_us", each);
-    const double endStarted = threadMicros();
-    bench.endAll();
-    report.rate("sidecar.end_us", (threadMicros() - endStarted) / calls);
-    require(bench.stats().executions >= calls, "executions were not counted");
+                       {size, static_cast<double>(driver.sentBytes() - bytesBeforeLoad) / seconds / peerCount});
+    }
+
+    const std::size_t heapBefore = heapBytes();
+    const double meanMicros =
+        meanCpuMicros(calls, [&](std::size_t i) { driver.startCall(100 + i, i % slotsPerSidecar, config); });
+    requireThat(driver.openCallCount() == calls, "a call was not started");
+    report.addRate("sidecar.open_call_bytes", static_cast<double>(heapBytes() - heapBefore) / calls);
+    report.addRate("sidecar.call_us", meanMicros);
+    const double finishStartMicros = threadCpuMicros();
+    driver.finishAllCalls();
+    report.addRate("sidecar.end_us", (threadCpuMicros() - finishStartMicros) / calls);
+    requireThat(driver.stats().executions >= calls, "executions were not counted");
 }
 
 } // namespace anvilscale::slopes
--- a/bench/slopes/slopes.h
+++ b/bench/slopes/slopes.h
@@ -1,4 +1,4 @@
-// The parts of the bench: each measures one role's slopes and adds them to the report.
+// Report of the slopes bench and the measurements that fill it, one per role.
 #pragma once
 
 #include "probe.h"
@@ -18,15 +18,15 @@
     std::vector<std::size_t> keySizes{1'000, 10'000, 100'000};
 
     std::map<std::string, Series> series;
-    std::map<std::string, double> messages; ///< bytes of one message
-    std::map<std::string, double> rates; ///< calls a second or plain figures
-
-    /// A point of a quantity that grows with its size.
-    void add(const std::string &name, const std::string &unit, const std::string &over, Point point);
-    /// A point of a cost that is looked at for each size.
-    void addCost(const std::string &name, const std::string &unit, const std::string &over, Point point);
-    void message(const std::string &name, std::size_t bytes);
-    void rate(const std::string &name, double value);
+    std::map<std::string, double> messageSizes; ///< size of one message in bytes
+    std::map<std::string, double> rates; ///< other figures without a size
+
+    /// Adds a point of a quantity that grows with its size.
+    void addPoint(const std::string &name, const std::string &unit, const std::string &sizeUnit, Point point);
+    /// Adds a point of a cost measured at each size.
+    void addCost(const std::string &name, const std::string &unit, const std::string &sizeUnit, Point point);
+    void addMessageSize(const std::string &name, std::size_t bytes);
+    void addRate(const std::string &name, double value);
 };
 
 void measureConfig(Report &report);
@@ -36,7 +36,7 @@
 void measureScheduler(Report &report);
 void measureKeyValueCalls(Report &report);
 
-/// The report as JSON, or as the tables of docs/CAPACITY.md.
+/// Format the report as JSON and as the tables of docs/CAPACITY.md.
 std::string toJson(const Report &report);
 std::string toPage(const Report &report);
 
