--- a/scripts/build.sh
+++ b/scripts/build.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds everything into ./build, or into the folder given.
+# Builds all targets into ./build or the given folder.
 set -eu
 cd "$(dirname "$0")/.."
 build=${1:-build}
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Measures the slopes and rewrites the measured part of docs/CAPACITY.md. Needs a built ./build.
+# Runs the slopes bench and updates the measured part of docs/CAPACITY.md. Requires a complete ./build.
 set -eu
 cd "$(dirname "$0")/.."
 tables=$(mktemp)
--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# The whole check: packages, generated code, format, build, lint, tests. Closes with the test runner's summary.
+# Runs all checks: packages, generated code, events, platform names, format, build, lint and tests.
+# The output ends with the summary of the test runner.
 set -eu
 cd "$(dirname "$0")/.."
 scripts/setup.sh
--- a/scripts/check_events.sh
+++ b/scripts/check_events.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Every event of src/telemetry/events.cpp stands in docs/events.md with its number, level and name, and no other.
+# Checks that src/telemetry/events.cpp and docs/events.md list the same events, by number, level and name.
 set -eu
 cd "$(dirname "$0")/.."
 code=$(sed -nE 's/^ *\{([0-9]+), LogLevel::([A-Za-z]+), "([a-z_]+)",.*/\1 \2 \3/p' src/telemetry/events.cpp | tr '[:upper:]' '[:lower:]')
--- a/scripts/check_generated.sh
+++ b/scripts/check_generated.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Compares the committed code with what the installed generator makes of the schema. Only the generator's version
-# that made the committed code can be compared; another one is named and passed over.
+# Compares the committed generated code with the output of the installed protoc. Skipped, with a message, if protoc is
+# missing or has another version than the one that generated the committed code.
 set -eu
 cd "$(dirname "$0")/.."
 command -v protoc >/dev/null || { echo "generated code: no generator here, not compared"; exit 0; }
--- a/scripts/check_platform.sh
+++ b/scripts/check_platform.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The users' platform is named in platform/ and deploy/ only: its headers, paths, keys and fields.
+# Checks that headers, paths, keys and fields of the users' platform appear in platform/ and deploy/ only.
 set -eu
 cd "$(dirname "$0")/.."
 names='X-Anvilscale-|/api/(kv-|order|report|readyz)|op/(config|version)|"servers/|fencing_token|"Kv-(From|Fetch)'
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# The whole product on one machine: both deployments of examples/ with stand-ins for platform and endpoints, real calls
-# through both entries of each, judged by the stand-ins' own records. The last line is
+# Runs both deployments of examples/ on one machine with stand-ins for platform and endpoints, sends calls through all
+# entries and verifies them against the records of the stand-ins. The last line is
 #   demo: N answered, L lost, D doubled, W wrong adapter
-# and the exit code 0 only if L, D and W are 0. Stops all it started.
-#   --short      fewer calls, fewer at once
-#   --calls N    calls for each deployment
+# and the exit code is 0 only if L, D and W are 0. Stops all processes that it started.
+#   --short      fewer calls with less concurrency
+#   --calls N    calls per deployment
 #   --built DIR  use the programs in DIR instead of setting up and building
-#   --drain      while the calls run: drain one sidecar of an engine and one of a service in each deployment
-#   --idle N     before the calls: leave all idle for N seconds and print the calls on the key-value service
+#   --drain      drain one engine sidecar and one service sidecar per deployment while the calls run
+#   --idle N     stay idle for N seconds before the calls and print the number of key-value calls
 set -eu
 cd "$(dirname "$0")/.."
 calls=400
@@ -46,7 +46,7 @@
 trap stopAll EXIT
 trap 'exit 130' INT TERM
 
-# startStandin FILE SUBCOMMAND OPTIONS...: the port is written to FILE.port.
+# startStandin FILE SUBCOMMAND OPTIONS...: starts a stand-in that writes its port to FILE.port.
 startStandin() {
     local file=$1
     shift
@@ -64,7 +64,7 @@
 }
 urlOf() { echo "http://127.0.0.1:$(portOf "$1")"; }
 
-# startDeployment NAME LOAD_RATE: leaves the arguments of anvilctl and of the callers in files.
+# startDeployment NAME LOAD_RATE: starts all processes and stores the arguments of anvilctl and the callers in files.
 startDeployment() {
     local example=examples/$1 folder=$work/$1 rate=$2 name
     mkdir -p "$folder"
@@ -118,7 +118,7 @@
     printf '%s\n' "${ctl[@]}" >"$folder/ctl.args"
 }
 
-# drainSidecars NAME CTL...: the first sidecar of each kind, once the calls are under way.
+# drainSidecars NAME CTL...: drains the first sidecar of each kind once the calls have started.
 drainSidecars() {
     local folder=$work/$1 kind file name
     shift
@@ -148,7 +148,7 @@
 
 measureIdle() {
     local name url before
-    sleep 15 # leases, slots and watches have settled
+    sleep 15 # lets leases, slots and watches settle
     for name in authority utac; do
         url=$(urlOf "$work/$name/key-value")
         before=$(python3 scripts/demo_files.py calls "$url")
@@ -164,8 +164,7 @@
 runCalls authority
 runCalls utac
 
-# A daemon that was told to stop has no call left and must end well.
-# One that was drained has ended by itself.
+# Every daemon must exit with code 0. Drained daemons have already exited.
 for pid in "${daemons[@]}"; do kill -TERM "$pid" 2>/dev/null || true; done
 for pid in "${daemons[@]}"; do
     wait "$pid" || { echo "a daemon ended with $?" >&2; failed=yes; }
--- a/scripts/demo_files.py
+++ b/scripts/demo_files.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Files of the demo, made from examples/: settings on loopback with ports given by the system, and the list of VMs.
+"""Generates the files of the demo from examples/: settings with loopback addresses and ephemeral ports, and the VM list.
 
 demo_files.py settings EXAMPLE FOLDER KEY_VALUE VM_LIST NAME=ENDPOINT...   writes FOLDER/NAME.json for every example
-demo_files.py vms EXAMPLE FOLDER VM_LIST                                    tells the list stand-in who is there
+demo_files.py vms EXAMPLE FOLDER VM_LIST                                    publishes the processes in the VM list
 demo_files.py routes EXAMPLE                                                prints ROUTE=ADAPTER@VERSION lines
-demo_files.py calls KEY_VALUE                                               prints the calls that it has counted
+demo_files.py calls KEY_VALUE                                               prints the number of counted calls
 demo_files.py services EXAMPLE                                              prints "keyed NAME" or "lookup NAME" lines
 """
 import json
@@ -19,7 +19,7 @@
 
 
 def write_settings(example, folder, key_value, vm_list, *endpoints):
-    """The example's own settings, but for what differs on one machine: addresses, ports, intervals of lists."""
+    """Writes the settings of the example, adapted to one machine: addresses, ports and timing."""
     by_name = dict(pair.split("=", 1) for pair in endpoints)
     for settings in example_settings(example):
         name = settings["name"]
@@ -31,7 +31,7 @@
         if settings["role"] == "sidecar":
             settings["sidecar"]["endpoint"] = by_name[name]
             settings["sidecar"].pop("lock", None)
-            # The stand-ins' loads take less than a second; a new sidecar waits this long for its predecessor's orders.
+            # Loads of the stand-ins take less than a second, so a new sidecar waits only briefly for earlier orders.
             settings["sidecar"]["orderTimeoutMs"] = 5000
         pathlib.Path(folder, f"{name}.json").write_text(json.dumps(settings, indent=2))
 
--- a/scripts/format.sh
+++ b/scripts/format.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Formats all sources in place; with --check it only says whether they are formatted.
+# Formats all sources in place. With --check, only reports unformatted sources.
 set -eu
 cd "$(dirname "$0")/.."
 mode="-i"
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs clang-tidy over all sources, or over the files given. Needs a configured ./build. A file whose text, headers
-# and rules are as at its last clean run is not read again.
+# Runs clang-tidy on all sources or the given files. Requires a configured ./build. Files that passed with unchanged
+# text, headers and rules are skipped.
 set -eu
 cd "$(dirname "$0")/.."
 build=${BUILD:-build}
--- a/scripts/sanitize.sh
+++ b/scripts/sanitize.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds everything with the address and undefined-behaviour sanitizers into ./build-asan and runs the tests there.
+# Builds with the address and undefined-behaviour sanitizers into ./build-asan and runs the tests.
 set -eu
 cd "$(dirname "$0")/.."
 export CCACHE_BASEDIR="$PWD" CCACHE_NOHASHDIR=1
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what building and testing needs on Debian 12. Does nothing where all is there.
+# Installs missing build and test dependencies on Debian 12.
 set -eu
 packages="g++ cmake ninja-build ccache clang-format clang-tidy git python3
  libpoco-dev libzmq3-dev cppzmq-dev libprotobuf-dev protobuf-compiler liblog4cxx-dev libcxxopts-dev
