--- a/tests/support/followed_store.h
+++ b/tests/support/followed_store.h
@@ -1,4 +1,4 @@
-// An entry's follower of the store under a virtual clock, made as its settings make it.
+// An entry's store watch under a virtual clock, for tests of the delay of endpoint removals.
 #pragma once
 
 #include "daemon/direct_settings.h"
@@ -20,60 +20,62 @@
     return *result;
 }
 
-/// An entry's follower as the settings make it, and when it told what.
+/// An entry's store watch, created from settings, with a record of what it reported and when.
 class FollowedStore
 {
 public:
-    /// `prepare` sets the store up before the entry starts.
+    /// `prepare` configures the store before the entry starts.
     explicit FollowedStore(
         std::uint32_t leaveMs = 2000, std::uint64_t incarnation = 1,
         const std::function<void(VirtualLoop &)> &prepare = [](VirtualLoop &) {}, std::set<std::string> known = {})
-        : bound_(Milliseconds(leaveMs))
-        , follower_(loop, initOf(leaveMs, incarnation, std::move(known)), handlers())
+        : maxDelay_(Milliseconds(leaveMs))
+        , watcher_(loop, makeInit(leaveMs, incarnation, std::move(known)), handlers())
     {
         loop.change("a", false);
         loop.change("b", false);
         prepare(loop);
-        follower_.start();
+        watcher_.start();
         loop.run(Seconds(5));
     }
 
     VirtualLoop loop;
 
-    /// At which an endpoint was told to be gone or leaving.
+    /// Time at which the endpoint was first reported as removed or leaving.
     std::optional<TimePoint> toldGone(const std::string &id) const
     {
-        const auto found = gone_.find(id);
-        return found == gone_.end() ? std::nullopt : std::optional(found->second);
+        const auto found = removedAt_.find(id);
+        return found == removedAt_.end() ? std::nullopt : std::optional(found->second);
     }
-    /// Time between the store's acknowledgement and this entry's knowledge, if it came to it.
+    /// Delay from the store's acknowledgement to the report of the removal; nothing if it was not reported.
     std::optional<Duration> lateness(const std::string &id, TimePoint acknowledged) const
     {
-        const auto told = toldGone(id);
-        return told ? std::optional(*told - acknowledged) : std::nullopt;
+        const auto removedAt = toldGone(id);
+        return removedAt ? std::optional(*removedAt - acknowledged) : std::nullopt;
     }
+    /// The removal was reported within bound().
     bool knownInTime(const std::string &id, TimePoint acknowledged) const
     {
-        const auto late = lateness(id, acknowledged);
-        return late && *late <= bound_;
+        const auto delay = lateness(id, acknowledged);
+        return delay && *delay <= maxDelay_;
     }
+    /// Upper bound on the delay of a removal, from the settings.
     Duration bound() const
     {
-        return bound_;
+        return maxDelay_;
     }
-    /// Endpoints that were told and not told to be gone since.
+    /// Endpoints that were reported and not removed since.
     const std::set<std::string> &present() const
     {
-        return present_;
+        return presentIds_;
     }
-    /// Something was told that is older than what had been told of the same endpoint.
+    /// A report was older than the previous report of the same endpoint.
     bool wentBack() const
     {
-        return wentBack_;
+        return hasRegressed_;
     }
 
 private:
-    static StoreFollowerInit initOf(std::uint32_t leaveMs, std::uint64_t incarnation, std::set<std::string> known)
+    static StoreFollowerInit makeInit(std::uint32_t leaveMs, std::uint64_t incarnation, std::set<std::string> known)
     {
         auto init = storeFollowerInit(entrySettings(leaveMs), incarnation);
         init.known = std::move(known);
@@ -85,17 +87,17 @@
         StoreFollowerHandlers result;
         result.record = [this](const StoreRecord &record) {
             if (const auto *endpoint = std::get_if<EndpointRecord>(&record)) {
-                wentBack_ = wentBack_ || endpoint->revision < told_[endpoint->id];
-                told_[endpoint->id] = endpoint->revision;
-                present_.insert(endpoint->id);
+                hasRegressed_ = hasRegressed_ || endpoint->revision < lastRevisions_[endpoint->id];
+                lastRevisions_[endpoint->id] = endpoint->revision;
+                presentIds_.insert(endpoint->id);
                 if (endpoint->leaving) {
-                    gone_.emplace(endpoint->id, loop.now());
+                    removedAt_.emplace(endpoint->id, loop.now());
                 }
             }
             if (const auto *removed = std::get_if<EndpointRemoved>(&record)) {
-                wentBack_ = wentBack_ || removed->revision < told_[removed->id];
-                gone_.emplace(removed->id, loop.now());
-                present_.erase(removed->id);
+                hasRegressed_ = hasRegressed_ || removed->revision < lastRevisions_[removed->id];
+                removedAt_.emplace(removed->id, loop.now());
+                presentIds_.erase(removed->id);
             }
         };
         result.complete = [] {};
@@ -104,12 +106,12 @@
         return result;
     }
 
-    Duration bound_;
-    std::map<std::string, TimePoint> gone_;
-    std::map<std::string, std::uint64_t> told_; // revisions
-    std::set<std::string> present_;
-    bool wentBack_ = false;
-    StoreFollower<VirtualDialect, VirtualLoop, VirtualClient> follower_;
+    Duration maxDelay_;
+    std::map<std::string, TimePoint> removedAt_;
+    std::map<std::string, std::uint64_t> lastRevisions_; // last reported revisions, by endpoint
+    std::set<std::string> presentIds_;
+    bool hasRegressed_ = false;
+    StoreFollower<VirtualDialect, VirtualLoop, VirtualClient> watcher_;
 };
 
 inline std::string inMs(Duration span)
--- a/tests/support/memory_kv.h
+++ b/tests/support/memory_kv.h
@@ -1,4 +1,4 @@
-// A small key-value service in memory, in virtual time: compare-and-swap, leases, watches, one revision for all.
+// An in-memory key-value service in virtual time: transactions, leases and watches with one store revision.
 #pragma once
 
 #include "anvilscale/platform.h"
@@ -10,12 +10,13 @@
 
 namespace anvilscale::test {
 
+/// Executes requests of the key-value interface at the times given by the caller.
 class MemoryKv
 {
 public:
     using Sink = std::function<void(KvReply)>;
 
-    /// Carries the request out. Events of a watch go to `sink`, at once and later.
+    /// Executes the request and returns its reply. Events of a watch go to `sink`, past events during this call.
     KvReply apply(const KvRequest &request, TimePoint now, const Sink &sink)
     {
         expire(now);
@@ -26,7 +27,7 @@
             reply.entries = range(request.key, request.rangeEnd);
             break;
         case KvOp::Txn:
-            transact(request, reply);
+            applyTransaction(request, reply);
             break;
         case KvOp::LeaseGrant:
             reply.lease = ++lastLease_;
@@ -37,7 +38,7 @@
             keepAlive(request, reply, now);
             break;
         case KvOp::LeaseRevoke:
-            endLease(request.lease);
+            removeLease(request.lease);
             break;
         case KvOp::Watch:
             watch(request, reply, sink);
@@ -51,19 +52,20 @@
         reply.storeRevision = revision_;
         return reply;
     }
+    /// Removes expired leases with their keys.
     void expire(TimePoint now)
     {
-        std::vector<std::uint64_t> over;
+        std::vector<std::uint64_t> expired;
         for (const auto &[lease, state] : leases_) {
-            if (state.end <= now) {
-                over.push_back(lease);
+            if (state.expiresAt <= now) {
+                expired.push_back(lease);
             }
         }
-        for (const auto lease : over) {
-            endLease(lease);
+        for (const auto lease : expired) {
+            removeLease(lease);
         }
     }
-    /// All watches break, as they do when the service goes away.
+    /// Fails all watches with Unavailable, as an outage of the service does.
     void breakWatches()
     {
         const auto broken = std::exchange(watches_, {});
@@ -74,10 +76,11 @@
             watch.sink(std::move(reply));
         }
     }
+    /// Discards the history. Watches from a revision before it get the status Compacted.
     void compactHistory()
     {
         history_.clear();
-        compacted_ = revision_;
+        compactedRevision_ = revision_;
     }
     const KvEntry *find(const std::string &key) const
     {
@@ -93,33 +96,34 @@
     struct Lease
     {
         Duration ttl;
-        TimePoint end;
+        TimePoint expiresAt;
     };
     struct Watch
     {
         std::string key;
-        std::string end;
+        std::string rangeEnd;
         Sink sink;
     };
-    static bool within(const std::string &key, const std::string &first, const std::string &end)
+    static bool isInRange(const std::string &key, const std::string &first, const std::string &end)
     {
         return end.empty() ? key == first : key >= first && key < end;
     }
     std::vector<KvEntry> range(const std::string &key, const std::string &end) const
     {
         std::vector<KvEntry> found;
-        for (auto it = entries_.lower_bound(key); it != entries_.end() && within(it->first, key, end); ++it) {
+        for (auto it = entries_.lower_bound(key); it != entries_.end() && isInRange(it->first, key, end); ++it) {
             found.push_back(it->second);
         }
         return found;
     }
-    void transact(const KvRequest &request, KvReply &reply)
-    {
-        const bool holds = std::all_of(request.compares.begin(), request.compares.end(), [this](const KvCompare &c) {
-            const auto *entry = find(c.key);
-            return (entry == nullptr ? 0 : entry->modRevision) == c.modRevision;
-        });
-        if (!holds) {
+    void applyTransaction(const KvRequest &request, KvReply &reply)
+    {
+        const bool isSatisfied =
+            std::all_of(request.compares.begin(), request.compares.end(), [this](const KvCompare &c) {
+                const auto *entry = find(c.key);
+                return (entry == nullptr ? 0 : entry->modRevision) == c.modRevision;
+            });
+        if (!isSatisfied) {
             reply.status = KvStatus::Conflict;
             for (const auto &compare : request.compares) {
                 if (const auto *entry = find(compare.key)) {
@@ -145,7 +149,7 @@
                 events.push_back(KvEntry{key, "", revision_, 0, true});
             }
         }
-        publish(events);
+        notifyWatches(events);
     }
     void keepAlive(const KvRequest &request, KvReply &reply, TimePoint now)
     {
@@ -154,11 +158,11 @@
             reply.status = KvStatus::LeaseGone;
             return;
         }
-        found->second.end = now + found->second.ttl;
+        found->second.expiresAt = now + found->second.ttl;
         reply.lease = request.lease;
         reply.ttl = found->second.ttl;
     }
-    void endLease(std::uint64_t lease)
+    void removeLease(std::uint64_t lease)
     {
         leases_.erase(lease);
         std::vector<KvEntry> events;
@@ -172,38 +176,38 @@
         }
         if (!events.empty()) {
             ++revision_;
-            publish(events);
+            notifyWatches(events);
         }
     }
     void watch(const KvRequest &request, KvReply &reply, const Sink &sink)
     {
-        if (request.startRevision <= compacted_ && compacted_ != 0) {
+        if (request.startRevision <= compactedRevision_ && compactedRevision_ != 0) {
             reply.status = KvStatus::Compacted;
             return;
         }
         watches_[request.id.value] = Watch{request.key, request.rangeEnd, sink};
         for (const auto &event : history_) {
-            if (event.modRevision >= request.startRevision && within(event.key, request.key, request.rangeEnd)) {
-                sendEvent(request.id.value, {event}, event.modRevision);
+            if (event.modRevision >= request.startRevision && isInRange(event.key, request.key, request.rangeEnd)) {
+                sendWatchEvent(request.id.value, {event}, event.modRevision);
             }
         }
     }
-    void publish(const std::vector<KvEntry> &events)
+    void notifyWatches(const std::vector<KvEntry> &events)
     {
         history_.insert(history_.end(), events.begin(), events.end());
         for (const auto &[id, watch] : watches_) {
-            std::vector<KvEntry> seen;
+            std::vector<KvEntry> visibleEvents;
             for (const auto &event : events) {
-                if (within(event.key, watch.key, watch.end)) {
-                    seen.push_back(event);
+                if (isInRange(event.key, watch.key, watch.rangeEnd)) {
+                    visibleEvents.push_back(event);
                 }
             }
-            if (!seen.empty()) {
-                sendEvent(id, std::move(seen), revision_);
+            if (!visibleEvents.empty()) {
+                sendWatchEvent(id, std::move(visibleEvents), revision_);
             }
         }
     }
-    void sendEvent(std::uint64_t id, std::vector<KvEntry> entries, std::int64_t revision)
+    void sendWatchEvent(std::uint64_t id, std::vector<KvEntry> entries, std::int64_t revision)
     {
         KvReply reply;
         reply.id = KvHandle{id};
@@ -215,10 +219,10 @@
 
     std::map<std::string, KvEntry> entries_;
     std::map<std::uint64_t, Lease> leases_;
-    std::map<std::uint64_t, Watch> watches_; // by request id: unique over all clients of a test
+    std::map<std::uint64_t, Watch> watches_; // by request id, which is unique over all clients of a test
     std::vector<KvEntry> history_;
     std::int64_t revision_ = 1;
-    std::int64_t compacted_ = 0;
+    std::int64_t compactedRevision_ = 0;
     std::uint64_t lastLease_ = 0;
 };
 
--- a/tests/support/standin_process.h
+++ b/tests/support/standin_process.h
@@ -1,4 +1,4 @@
-// Starts a stand-in as a process, on a port given by the system, and speaks JSON with it. Ends the process by its id.
+// Starts a stand-in as a child process on a system-assigned port, and sends it HTTP requests.
 #pragma once
 
 #include <Poco/JSON/Object.h>
@@ -35,13 +35,13 @@
     }
 };
 
-/// One HTTP request on a connection of its own. Throws if there is no answer.
+/// Sends one HTTP request on a new connection. Throws a Poco exception if there is no answer.
 inline HttpReply http(unsigned port, const std::string &method, const std::string &path, const std::string &body = {},
                       const std::vector<std::pair<std::string, std::string>> &headers = {})
 {
     Poco::Net::HTTPClientSession session("127.0.0.1", static_cast<Poco::UInt16>(port));
-    constexpr long patience = 60; // seconds; only a defect waits that long
-    session.setTimeout(Poco::Timespan(patience, 0));
+    constexpr long timeoutSeconds = 60; // well above the duration of any test request
+    session.setTimeout(Poco::Timespan(timeoutSeconds, 0));
     Poco::Net::HTTPRequest request(method, path, Poco::Net::HTTPMessage::HTTP_1_1);
     for (const auto &[name, value] : headers) {
         request.set(name, value);
@@ -55,9 +55,11 @@
     return reply;
 }
 
+/// Child process of a stand-in, terminated on destruction.
 class StandinProcess
 {
 public:
+    /// Waits for the port. Throws std::runtime_error if the stand-in does not write one.
     explicit StandinProcess(const std::string &subcommand, std::vector<std::string> arguments = {})
     {
         const char *build = std::getenv("ANVILSCALE_BUILD");
@@ -82,6 +84,7 @@
     {
         return "http://127.0.0.1:" + std::to_string(port_);
     }
+    /// Posts a control request and returns the JSON reply.
     Poco::JSON::Object::Ptr control(const std::string &body, const std::string &path = "/standin") const
     {
         return http(port_, "POST", path, body).json();
@@ -90,8 +93,8 @@
 private:
     void waitForPort()
     {
-        constexpr int tries = 6000; // a minute
-        for (int i = 0; i < tries && port_ == 0; ++i) {
+        constexpr int maxPolls = 6000; // one minute in total
+        for (int i = 0; i < maxPolls && port_ == 0; ++i) {
             std::this_thread::sleep_for(std::chrono::milliseconds(10));
             std::ifstream in(portFile_.path());
             in >> port_;
--- a/tests/support/virtual_store.h
+++ b/tests/support/virtual_store.h
@@ -1,4 +1,4 @@
-// The platform's store, a client of it and a loop under a virtual clock, for tests of what an entry knows and when.
+// The platform's store, a client of it and an event loop under a virtual clock, for tests of the store watch.
 #pragma once
 
 #include "daemon/store_follower.h"
@@ -11,17 +11,17 @@
 
 namespace anvilscale::test {
 
+/// How the store handles calls.
 enum class StoreMood : std::uint8_t {
     Well,
-    Silent, ///< takes calls and never answers them, also those that wait in it already
-    Refusing, ///< answers at once that it did nothing
-    Forgetful, ///< answers reads, and each watch that it has no history
-    Dark, ///< nobody can connect; calls that wait in it are never answered
+    Silent, ///< accepts calls and never answers them, waiting ones included
+    Refusing, ///< answers 503 at once, without effect
+    Forgetful, ///< answers reads, and each watch with 410 because its history is lost
+    Dark, ///< unreachable; waiting calls are never answered
     Count
 };
 
-/// Takes the store's place: endpoints under their ids, and a history of what became of them. A copy of it can take the
-/// place of the store itself, in the next era.
+/// Endpoint records by id, with a history of changes. Can be restored from a copy, which starts a new era.
 class VirtualStore
 {
 public:
@@ -41,6 +41,7 @@
     {
         return era_;
     }
+    /// Replaces the content by the copy's and raises the era.
     void restore(const VirtualStore &copy)
     {
         const auto era = era_ + 1;
@@ -63,7 +64,7 @@
             items_.erase(id);
         }
     }
-    /// What stands behind `after`, as a read tells it: at most a page.
+    /// Returns at most one page of items with an id greater than `after`.
     std::vector<Item> pageAfter(const std::string &after) const
     {
         std::vector<Item> list;
@@ -79,6 +80,7 @@
 
     std::size_t pageSize = 100;
 
+    /// Changes after the given revision, in order.
     std::vector<Item> changesAfter(std::uint64_t after) const
     {
         std::vector<Item> list;
@@ -94,20 +96,20 @@
     std::vector<Item> history_;
 };
 
-/// Clock and timers of one test, and the store that its clients reach.
+/// Clock and timers of one test, and the store that its clients call.
 class VirtualLoop
 {
 public:
     VirtualStore store;
     StoreMood mood = StoreMood::Well;
     std::uint64_t calls = 0;
-    std::uint64_t limitedCalls = 0; ///< those that count toward the store's limit
-    std::uint64_t silenced = 0; ///< connections made before this generation carry nothing any more
-    std::optional<VirtualStore> oldStore; ///< answers reads that may be old; none: the store itself
+    std::uint64_t limitedCalls = 0; ///< calls that count toward the store's rate limit
+    std::uint64_t stalledGeneration = 0; ///< connections of an earlier generation transfer no more data
+    std::optional<VirtualStore> oldStore; ///< answers reads that may be stale; empty if the store answers them
     Duration answerTime = Milliseconds(4);
-    std::size_t bodyPadding = 0; ///< bytes that each answer carries besides
-    std::size_t bytesPerMs = 0; ///< of the link; 0: answers come whole
-    std::vector<std::function<void()>> onChange; ///< of the store or of its mood
+    std::size_t bodyPadding = 0; ///< additional bytes in each answer
+    std::size_t bytesPerMs = 0; ///< bandwidth; 0 if answers arrive in one piece
+    std::vector<std::function<void()>> onChange; ///< called after a change of the store or of its condition
 
     TimerService &timers()
     {
@@ -133,30 +135,30 @@
     void setMood(StoreMood next)
     {
         mood = next;
-        changed();
+        notifyChange();
     }
     void change(const std::string &id, bool leaving, bool removed = false)
     {
         store.change(id, leaving, removed);
-        changed();
+        notifyChange();
     }
-    /// The store comes back from the copy; calls that wait in it are cut.
+    /// Restores the store from the copy. Waiting calls are cut.
     void restore(const VirtualStore &copy)
     {
         store.restore(copy);
-        const auto before = std::exchange(mood, StoreMood::Refusing);
-        changed();
-        setMood(before);
+        const auto previous = std::exchange(mood, StoreMood::Refusing);
+        notifyChange();
+        setMood(previous);
     }
-    /// All open connections go silent for good; new ones work.
+    /// Open connections transfer no more data; new ones work.
     void silenceConnections()
     {
-        ++silenced;
-        changed();
+        ++stalledGeneration;
+        notifyChange();
     }
 
 private:
-    void changed()
+    void notifyChange()
     {
         for (const auto &listener : onChange) {
             listener();
@@ -167,8 +169,8 @@
     TimePoint time_{Seconds(1000)};
 };
 
-/// What the tests' store speaks: its revision and the last id of a page that others follow, or "-"; then lines of
-/// "id leaving removed revision".
+/// Protocol of the virtual store: a line with its revision and the last id of the page, or "-" on the last page; then
+/// lines of "id leaving removed revision".
 struct VirtualDialect
 {
     static EndpointRequest rangeRequest(const std::string &after, bool mayBeOld)
@@ -247,7 +249,7 @@
     }
 };
 
-/// Behaves as the HTTP client does: one kept connection, an end for each exchange that was not aborted.
+/// Stand-in for the HTTP client: one keep-alive connection, and an end for each exchange that was not aborted.
 class VirtualClient
 {
 public:
@@ -255,7 +257,7 @@
         : loop_(loop)
         , init_(std::move(init))
     {
-        loop_.onChange.emplace_back([this] { lookAgain(); });
+        loop_.onChange.emplace_back([this] { onStoreChanged(); });
     }
 
     ExchangeId start(const EndpointRequest &request, Duration timeout, ExchangeHandlers handlers)
@@ -264,20 +266,20 @@
         current_ = Exchange{};
         current_.id = ++lastId_;
         current_.handlers = std::move(handlers);
-        read(request.target);
+        parseTarget(request.target);
         if (timeout != Duration(0)) {
-            atEnd(loop_.now() + timeout, ExchangeEnd::Broken);
+            scheduleEnd(loop_.now() + timeout, ExchangeEnd::Broken);
         }
-        const bool kept = keptUntil_ > loop_.now() && !request.freshConnection;
-        if (!kept) {
-            generation_ = loop_.silenced;
+        const bool isReused = reusableUntil_ > loop_.now() && !request.freshConnection;
+        if (!isReused) {
+            connectionGeneration_ = loop_.stalledGeneration;
         }
-        if (loop_.mood == StoreMood::Dark && !kept) {
-            atEnd(loop_.now() + init_.connectTimeout, ExchangeEnd::Unreachable);
-            current_.swallowed = true;
+        if (loop_.mood == StoreMood::Dark && !isReused) {
+            scheduleEnd(loop_.now() + init_.connectTimeout, ExchangeEnd::Unreachable);
+            current_.isNeverAnswered = true;
         }
-        keptUntil_ = TimePoint{};
-        arrive();
+        reusableUntil_ = TimePoint{};
+        handleArrival();
         return current_.id;
     }
     void abort(ExchangeId id)
@@ -290,27 +292,27 @@
 private:
     struct Exchange
     {
-        ExchangeId id = 0; // 0: none
+        ExchangeId id = 0; // 0 if no exchange is open
         ExchangeHandlers handlers;
-        bool watching = false;
-        bool mayBeOld = false;
-        std::uint64_t after = 0; // of a watch: a revision
-        std::string afterId; // of a read
+        bool isWatch = false;
+        bool allowsStale = false;
+        std::uint64_t after = 0; // revision, for a watch
+        std::string afterId; // for a read
         Duration wait{};
-        bool swallowed = false; // never answered
-        bool answering = false;
+        bool isNeverAnswered = false;
+        bool isAnswering = false;
     };
 
-    void read(const std::string &target)
+    void parseTarget(const std::string &target)
     {
         std::istringstream in(target);
-        std::string verb;
+        std::string operation;
         Duration::rep wait = 0;
-        in >> verb;
-        current_.mayBeOld = verb == "old";
-        loop_.limitedCalls += current_.mayBeOld ? 0 : 1;
-        current_.watching = verb == "watch";
-        if (current_.watching) {
+        in >> operation;
+        current_.allowsStale = operation == "old";
+        loop_.limitedCalls += current_.allowsStale ? 0 : 1;
+        current_.isWatch = operation == "watch";
+        if (current_.isWatch) {
             in >> current_.after >> wait;
             current_.wait = Duration(wait);
             return;
@@ -318,117 +320,118 @@
         in >> current_.afterId;
     }
 
-    void arrive()
+    void handleArrival()
     {
-        if (loop_.mood == StoreMood::Silent || generation_ < loop_.silenced) {
-            current_.swallowed = true;
+        if (loop_.mood == StoreMood::Silent || connectionGeneration_ < loop_.stalledGeneration) {
+            current_.isNeverAnswered = true;
         }
-        if (current_.swallowed) {
+        if (current_.isNeverAnswered) {
             return;
         }
         if (loop_.mood == StoreMood::Refusing) {
             answer(503);
             return;
         }
-        const bool ahead = current_.after > loop_.store.revision();
-        if (current_.watching && (ahead || loop_.mood == StoreMood::Forgetful)) {
+        const bool isAheadOfStore = current_.after > loop_.store.revision();
+        if (current_.isWatch && (isAheadOfStore || loop_.mood == StoreMood::Forgetful)) {
             answer(410);
             return;
         }
-        if (!current_.watching || hasNews() || current_.wait == Duration(0)) {
+        if (!current_.isWatch || hasChanges() || current_.wait == Duration(0)) {
             answer(200);
             return;
         }
-        later(current_.wait, [this] { answer(200); });
+        schedule(current_.wait, [this] { answer(200); });
     }
 
-    bool hasNews() const
+    bool hasChanges() const
     {
         return loop_.store.revision() > current_.after;
     }
 
-    void lookAgain()
+    void onStoreChanged()
     {
-        if (current_.id == 0 || current_.swallowed) {
+        if (current_.id == 0 || current_.isNeverAnswered) {
             return;
         }
-        if (loop_.mood == StoreMood::Silent || loop_.mood == StoreMood::Dark || generation_ < loop_.silenced) {
-            current_.swallowed = true;
+        if (loop_.mood == StoreMood::Silent || loop_.mood == StoreMood::Dark
+            || connectionGeneration_ < loop_.stalledGeneration) {
+            current_.isNeverAnswered = true;
         } else if (loop_.mood == StoreMood::Refusing) {
-            end(ExchangeEnd::Broken); // calls that wait are cut
-        } else if (current_.watching && hasNews()) {
+            end(ExchangeEnd::Broken); // waiting calls are cut
+        } else if (current_.isWatch && hasChanges()) {
             answer(200);
         }
     }
 
     void answer(std::uint32_t status)
     {
-        if (std::exchange(current_.answering, true)) {
+        if (std::exchange(current_.isAnswering, true)) {
             return;
         }
-        later(loop_.answerTime, [this, status] {
+        schedule(loop_.answerTime, [this, status] {
             HttpResponseHead head;
             head.status = status;
-            head.headers.emplace_back("era", std::to_string(asked().era()));
+            head.headers.emplace_back("era", std::to_string(answeringStore().era()));
             current_.handlers.head(head);
-            send(body(), 0);
+            sendBody(body(), 0);
         });
     }
 
-    const VirtualStore &asked() const
+    const VirtualStore &answeringStore() const
     {
-        return current_.mayBeOld && loop_.oldStore ? *loop_.oldStore : loop_.store;
+        return current_.allowsStale && loop_.oldStore ? *loop_.oldStore : loop_.store;
     }
 
     std::string body() const
     {
-        const auto &store = asked();
-        const auto items = current_.watching ? store.changesAfter(current_.after) : store.pageAfter(current_.afterId);
-        const bool more = !current_.watching && !items.empty() && store.hasMore(items.back().id);
+        const auto &store = answeringStore();
+        const auto items = current_.isWatch ? store.changesAfter(current_.after) : store.pageAfter(current_.afterId);
+        const bool hasNextPage = !current_.isWatch && !items.empty() && store.hasMore(items.back().id);
         std::ostringstream out;
-        out << store.revision() << ' ' << (more ? items.back().id : "-") << '\n';
+        out << store.revision() << ' ' << (hasNextPage ? items.back().id : "-") << '\n';
         for (const auto &item : items) {
             out << item.id << ' ' << item.leaving << ' ' << item.removed << ' ' << item.revision << '\n';
         }
         return out.str() + std::string(loop_.bodyPadding, ' ');
     }
 
-    void send(const std::string &text, std::size_t from)
+    void sendBody(const std::string &text, std::size_t from)
     {
-        constexpr std::size_t step = 50; // milliseconds of the link
-        const auto most = loop_.bytesPerMs == 0 ? text.size() : step * loop_.bytesPerMs;
-        const auto part = text.substr(from, most);
+        constexpr std::size_t partInterval = 50; // milliseconds between two parts
+        const auto maxBytes = loop_.bytesPerMs == 0 ? text.size() : partInterval * loop_.bytesPerMs;
+        const auto part = text.substr(from, maxBytes);
         const auto id = current_.id;
         current_.handlers.data(part);
         if (from + part.size() < text.size() && current_.id == id) {
-            later(Milliseconds(step), [this, text, next = from + part.size()] { send(text, next); });
+            schedule(Milliseconds(partInterval), [this, text, next = from + part.size()] { sendBody(text, next); });
             return;
         }
-        keptUntil_ = loop_.now() + init_.keepIdle;
+        reusableUntil_ = loop_.now() + init_.keepIdle;
         end(ExchangeEnd::Complete);
     }
 
-    void end(ExchangeEnd how)
+    void end(ExchangeEnd result)
     {
         const auto handler = std::move(current_.handlers.end);
         current_ = Exchange{};
-        handler(how);
+        handler(result);
     }
 
-    /// Unless the exchange has ended by then, or will never be answered.
-    void later(Duration span, std::function<void()> what)
+    /// Runs `what` after `span`, unless the exchange has ended by then or is never answered.
+    void schedule(Duration span, std::function<void()> what)
     {
         loop_.at(loop_.now() + span, [this, id = current_.id, what = std::move(what)] {
-            if (current_.id == id && !current_.swallowed) {
+            if (current_.id == id && !current_.isNeverAnswered) {
                 what();
             }
         });
     }
-    void atEnd(TimePoint when, ExchangeEnd how)
+    void scheduleEnd(TimePoint when, ExchangeEnd result)
     {
-        loop_.at(when, [this, id = current_.id, how] {
+        loop_.at(when, [this, id = current_.id, result] {
             if (current_.id == id) {
-                end(how);
+                end(result);
             }
         });
     }
@@ -437,8 +440,8 @@
     HttpClientInit init_;
     Exchange current_;
     ExchangeId lastId_ = 0;
-    TimePoint keptUntil_{}; // an idle connection can be used up to then
-    std::uint64_t generation_ = 0; // of the present connection
+    TimePoint reusableUntil_{}; // an idle connection can be reused up to then
+    std::uint64_t connectionGeneration_ = 0; // of the current connection
 };
 
 } // namespace anvilscale::test
--- a/tests/support/virtual_world.h
+++ b/tests/support/virtual_world.h
@@ -1,5 +1,4 @@
-// Virtual time and a key-value service for the tests of state machines: replies come a millisecond later, unless a
-// rule of the test loses them.
+// Virtual time and a key-value service for tests of state machines, with faults injected by a rule of the test.
 #pragma once
 
 #include "memory_kv.h"
@@ -8,15 +7,16 @@
 
 namespace anvilscale::test {
 
+/// Fault injected into one key-value request.
 enum class KvFault : std::uint8_t {
     None,
-    Down, ///< the request has no effect: Unavailable
-    LostRequest, ///< no effect, but nobody knows: Unknown
-    LostReply, ///< takes effect: Unknown
+    Down, ///< the request has no effect; the reply is Unavailable
+    LostRequest, ///< the request has no effect; the reply is Unknown
+    LostReply, ///< the request takes effect; the reply is Unknown
     Count
 };
 
-/// Clock, timers and service shared by the parts of one test.
+/// Clock, timers and key-value service shared by the components of one test.
 class VirtualWorld
 {
 public:
@@ -25,24 +25,25 @@
 
     TimerService timers;
     MemoryKv kv;
-    Rule rule; ///< asked for each request; empty: no fault
+    Rule rule; ///< called for each request; no faults if empty
     std::uint64_t requests = 0;
-    Duration delay = Milliseconds(1);
+    Duration delay = Milliseconds(1); ///< from a request to its reply
 
     Now now() const
     {
         return Now{time_,
                    WallTime{wallStart + std::chrono::duration_cast<Milliseconds>(time_.time_since_epoch()).count()}};
     }
-    /// The submit function of one part, whose replies go to `onReply`.
+    /// Returns the submit function of one component. Its replies go to `onReply`.
     std::function<void(KvRequest)> client(OnReply onReply)
     {
-        return [this, onReply = std::move(onReply)](const KvRequest &request) { take(request, onReply); };
+        return [this, onReply = std::move(onReply)](const KvRequest &request) { handleRequest(request, onReply); };
     }
     void later(Duration wait, std::function<void(Now)> what)
     {
         timers.subscribe(time_ + wait, [this, what = std::move(what)](TimePoint) { what(now()); });
     }
+    /// Advances the clock by `span`, running all timers that are due.
     void run(Duration span)
     {
         const TimePoint end = time_ + span;
@@ -53,7 +54,7 @@
         time_ = end;
         kv.expire(time_);
     }
-    /// Runs until `done` or for `limit`; whether it was done.
+    /// Runs until `done` returns true, at most for `limit`. Returns the last result of `done`.
     bool runUntil(Duration limit, const std::function<bool()> &done)
     {
         const TimePoint end = time_ + limit;
@@ -66,11 +67,11 @@
 private:
     static constexpr std::int64_t wallStart = 1'764'700'000'000;
 
-    void take(const KvRequest &request, const OnReply &onReply)
+    void handleRequest(const KvRequest &request, const OnReply &onReply)
     {
         ++requests;
         const KvFault fault = rule ? rule(request) : KvFault::None;
-        const auto sink = [this, onReply](KvReply reply) {
+        const auto sendReply = [this, onReply](KvReply reply) {
             later(delay, [onReply, reply = std::move(reply)](Now at) { onReply(reply, at); });
         };
         KvReply reply;
@@ -80,7 +81,7 @@
         } else if (fault == KvFault::LostRequest) {
             reply.status = KvStatus::Unknown;
         } else {
-            reply = kv.apply(request, time_, sink);
+            reply = kv.apply(request, time_, sendReply);
             if (fault == KvFault::LostReply) {
                 reply = KvReply{};
                 reply.id = request.id;
@@ -88,7 +89,7 @@
             }
         }
         if (request.op != KvOp::WatchCancel) {
-            sink(std::move(reply));
+            sendReply(std::move(reply));
         }
     }
 
