--- a/tests/faults/cells.cpp
+++ b/tests/faults/cells.cpp
@@ -1,4 +1,4 @@
-// Enumeration of the cells, and the table that is printed.
+// Enumerates, runs and reports the cells of the fault matrix.
 #include "cells.h"
 
 #include <rapidcheck.h>
@@ -14,7 +14,7 @@
 
 constexpr std::uint64_t cellSeed = 7;
 
-std::string writeInjection(const Injection &injection)
+std::string formatInjection(const Injection &injection)
 {
     return std::string(toString(injection.step)) + ":" + std::to_string(injection.pass) + ":"
            + std::string(toString(injection.fault));
@@ -29,16 +29,16 @@
     std::getline(in, step, ':');
     std::getline(in, pass, ':');
     std::getline(in, fault);
-    const auto knownStep = fromString<Step>(step);
-    const auto knownFault = fromString<Fault>(fault);
-    if (!knownStep || !knownFault || pass.empty() || pass.find_first_not_of("0123456789") != std::string::npos) {
+    const auto parsedStep = fromString<Step>(step);
+    const auto parsedFault = fromString<Fault>(fault);
+    if (!parsedStep || !parsedFault || pass.empty() || pass.find_first_not_of("0123456789") != std::string::npos) {
         return std::nullopt;
     }
-    return Injection{*knownStep, static_cast<std::uint32_t>(std::stoul(pass)), *knownFault};
+    return Injection{*parsedStep, static_cast<std::uint32_t>(std::stoul(pass)), *parsedFault};
 }
 
 template<class E>
-std::vector<E> allOf()
+std::vector<E> allValues()
 {
     std::vector<E> all;
     for (std::size_t i = 0; i < enumCount<E>; ++i) {
@@ -47,100 +47,100 @@
     return all;
 }
 
-/// Cells of one protocol, step by step: each fault once, each fault at two passes, and each fault followed by each
-/// other at the next step of the protocol.
-std::vector<Cell> cellsAt(Protocol protocol, std::size_t index, const std::string &kinds)
+/// Cells for one step of a protocol: each fault once, each fault at the first two passes, and each pair of a fault at
+/// this step and a fault at the next one.
+std::vector<Cell> cellsForStep(Protocol protocol, std::size_t index, const std::string &kinds)
 {
     const auto steps = stepsOf(protocol);
-    const Step here = steps[index];
+    const Step step = steps[index];
     const Step next = steps[(index + 1) % steps.size()];
     std::vector<Cell> cells;
-    for (const Fault fault : allOf<Fault>()) {
+    for (const Fault fault : allValues<Fault>()) {
         if (kinds == "single" || kinds == "short" || kinds == "all") {
-            cells.push_back({protocol, {{here, 1, fault}}});
+            cells.push_back({protocol, {{step, 1, fault}}});
         }
         if (kinds == "twice" || kinds == "short" || kinds == "all") {
-            cells.push_back({protocol, {{here, 1, fault}, {here, 2, fault}}});
+            cells.push_back({protocol, {{step, 1, fault}, {step, 2, fault}}});
         }
         if (kinds == "pairs" || kinds == "all") {
-            for (const Fault second : allOf<Fault>()) {
-                cells.push_back({protocol, {{here, 1, fault}, {next, 1, second}}});
+            for (const Fault second : allValues<Fault>()) {
+                cells.push_back({protocol, {{step, 1, fault}, {next, 1, second}}});
             }
         }
     }
     return cells;
 }
 
-struct Row
+struct MatrixRow
 {
     std::size_t cells = 0;
-    std::size_t reached = 0; // every injection of the cell struck
-    std::size_t red = 0;
-    std::string example;
+    std::size_t struckCells = 0; // cells in which every fault was injected
+    std::size_t failedCells = 0;
+    std::string firstFailure;
 };
 
-class Report
+class MatrixReport
 {
 public:
-    explicit Report(bool markdown)
+    explicit MatrixReport(bool markdown)
         : markdown_(markdown)
     {
         std::cout << (markdown_ ? "| protocol | step | cells | struck | red |\n| --- | --- | ---: | ---: | ---: |\n"
                                 : "");
     }
-    void add(const std::string &protocol, const std::string &step, const Row &row)
+    void add(const std::string &protocol, const std::string &step, const MatrixRow &row)
     {
         total_.cells += row.cells;
-        total_.reached += row.reached;
-        total_.red += row.red;
+        total_.struckCells += row.struckCells;
+        total_.failedCells += row.failedCells;
         print(protocol, step, row);
-        if (!row.example.empty()) {
-            examples_.push_back(row.example);
+        if (!row.firstFailure.empty()) {
+            failures_.push_back(row.firstFailure);
         }
     }
     int finish(double seconds)
     {
         print("all", "", total_);
-        for (const auto &example : examples_) {
-            std::cout << (markdown_ ? "\n    " : "  ") << example << "\n";
+        for (const auto &failure : failures_) {
+            std::cout << (markdown_ ? "\n    " : "  ") << failure << "\n";
         }
         std::cout << "\n"
-                  << total_.cells << " cells, " << total_.reached << " with every fault struck, " << total_.red
-                  << " red, " << std::fixed << std::setprecision(1) << seconds << " s\n";
-        return total_.red == 0 ? 0 : 1;
+                  << total_.cells << " cells, " << total_.struckCells << " with every fault struck, "
+                  << total_.failedCells << " red, " << std::fixed << std::setprecision(1) << seconds << " s\n";
+        return total_.failedCells == 0 ? 0 : 1;
     }
-    bool red() const
+    bool hasFailures() const
     {
-        return total_.red != 0;
+        return total_.failedCells != 0;
     }
 
 private:
-    void print(const std::string &protocol, const std::string &step, const Row &row) const
+    void print(const std::string &protocol, const std::string &step, const MatrixRow &row) const
     {
         if (markdown_) {
-            std::cout << "| " << protocol << " | " << step << " | " << row.cells << " | " << row.reached << " | "
-                      << row.red << " |\n";
+            std::cout << "| " << protocol << " | " << step << " | " << row.cells << " | " << row.struckCells << " | "
+                      << row.failedCells << " |\n";
             return;
         }
         std::cout << std::left << std::setw(22) << protocol << std::setw(20) << step << std::right << std::setw(6)
-                  << row.cells << " cells " << std::setw(6) << row.reached << " struck " << std::setw(5) << row.red
-                  << " red" << std::endl;
+                  << row.cells << " cells " << std::setw(6) << row.struckCells << " struck " << std::setw(5)
+                  << row.failedCells << " red" << std::endl;
     }
 
     bool markdown_;
-    Row total_;
-    std::vector<std::string> examples_;
+    MatrixRow total_;
+    std::vector<std::string> failures_;
 };
 
-void playInto(Row &row, const Cell &cell, const AllSafeguards &safeguards)
+void playIntoRow(MatrixRow &row, const Cell &cell, const AllSafeguards &safeguards)
 {
-    const auto result = play(cell, safeguards);
+    const auto result = playCell(cell, safeguards);
     ++row.cells;
-    row.reached += result.reached == cell.injections.size() ? 1 : 0;
+    row.struckCells += result.injectedCount == cell.injections.size() ? 1 : 0;
     if (!result.violations.empty()) {
-        ++row.red;
-        if (row.example.empty()) {
-            row.example = "--cell " + describe(cell) + ": " + result.violations.front();
+        ++row.failedCells;
+        if (row.firstFailure.empty()) {
+            row.firstFailure = "--cell " + formatCell(cell) + ": " + result.violations.front();
         }
     }
 }
@@ -188,22 +188,22 @@
     return table;
 }
 
-bool switchOff(const std::string &name, AllSafeguards &safeguards)
+bool disableSafeguard(const std::string &name, AllSafeguards &safeguards)
 {
     for (const auto &safeguard : safeguardTable()) {
         if (safeguard.name == name) {
-            safeguard.of(safeguards) = false;
+            safeguard.select(safeguards) = false;
             return true;
         }
     }
     return false;
 }
 
-std::string describe(const Cell &cell)
+std::string formatCell(const Cell &cell)
 {
     std::string text(toString(cell.protocol));
     for (std::size_t i = 0; i < cell.injections.size(); ++i) {
-        text += (i == 0 ? ":" : ",") + writeInjection(cell.injections[i]);
+        text += (i == 0 ? ":" : ",") + formatInjection(cell.injections[i]);
     }
     return text;
 }
@@ -231,58 +231,58 @@
     return cell;
 }
 
-CellResult play(const Cell &cell, const AllSafeguards &safeguards, std::ostream *trace)
+CellResult playCell(const Cell &cell, const AllSafeguards &safeguards, std::ostream *trace)
 {
-    World world(cell.protocol, cell.injections, safeguards, cellSeed);
-    world.traceTo(trace);
+    Simulation simulation(cell.protocol, cell.injections, safeguards, cellSeed);
+    simulation.setTrace(trace);
     CellResult result;
-    result.violations = world.play();
-    result.reached = world.reached();
-    result.runs = world.runs();
-    result.finished = world.finishedCalls();
+    result.violations = simulation.run();
+    result.injectedCount = simulation.injectedCount();
+    result.runCount = simulation.runCount();
+    result.finishedCalls = simulation.finishedCallCount();
     return result;
 }
 
 int playMatrix(const MatrixOptions &options, const AllSafeguards &safeguards)
 {
     const auto begin = std::chrono::steady_clock::now();
-    Report report(options.markdown);
-    for (const Protocol protocol : allOf<Protocol>()) {
-        if (options.only && *options.only != protocol) {
+    MatrixReport report(options.markdown);
+    for (const Protocol protocol : allValues<Protocol>()) {
+        if (options.onlyProtocol && *options.onlyProtocol != protocol) {
             continue;
         }
-        Row quiet;
-        playInto(quiet, Cell{protocol, {}}, safeguards);
-        report.add(std::string(toString(protocol)), "(no fault)", quiet);
+        MatrixRow faultFreeRow;
+        playIntoRow(faultFreeRow, Cell{protocol, {}}, safeguards);
+        report.add(std::string(toString(protocol)), "(no fault)", faultFreeRow);
         for (std::size_t i = 0; i < stepsOf(protocol).size(); ++i) {
-            Row row;
-            for (const auto &cell : cellsAt(protocol, i, options.kinds)) {
-                playInto(row, cell, safeguards);
-                if (options.stopAtFirst && row.red != 0) {
+            MatrixRow row;
+            for (const auto &cell : cellsForStep(protocol, i, options.kinds)) {
+                playIntoRow(row, cell, safeguards);
+                if (options.stopAtFirst && row.failedCells != 0) {
                     break;
                 }
             }
             report.add(std::string(toString(protocol)), std::string(toString(stepsOf(protocol)[i])), row);
-            if (options.stopAtFirst && report.red()) {
+            if (options.stopAtFirst && report.hasFailures()) {
                 break;
             }
         }
-        if (options.stopAtFirst && report.red()) {
+        if (options.stopAtFirst && report.hasFailures()) {
             break;
         }
     }
-    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begin;
-    return report.finish(took.count());
+    const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - begin;
+    return report.finish(elapsed.count());
 }
 
 int playRandom(int count, std::uint64_t seed, const AllSafeguards &safeguards)
 {
     const std::string parameters = "seed=" + std::to_string(seed) + " max_success=" + std::to_string(count);
     setenv("RC_PARAMS", parameters.c_str(), 1); // NOLINT(concurrency-mt-unsafe): one thread
-    std::string smallest;
-    const bool good = rc::check("no invariant breaks under random faults", [&] {
+    std::string minimalFailure;
+    const bool hasPassed = rc::check("no invariant breaks under random faults", [&] {
         Cell cell;
-        cell.protocol = *rc::gen::elementOf(allOf<Protocol>());
+        cell.protocol = *rc::gen::elementOf(allValues<Protocol>());
         const auto raw = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
             rc::gen::tuple(rc::gen::inRange(0, static_cast<int>(Step::Other)), rc::gen::inRange(1, 12),
                            rc::gen::inRange(0, static_cast<int>(Fault::Count))));
@@ -292,16 +292,16 @@
                     {static_cast<Step>(step), static_cast<std::uint32_t>(pass), static_cast<Fault>(fault)});
             }
         }
-        const auto result = play(cell, safeguards);
+        const auto result = playCell(cell, safeguards);
         if (!result.violations.empty()) {
-            smallest = "--cell " + describe(cell) + ": " + result.violations.front();
-            RC_FAIL(smallest);
+            minimalFailure = "--cell " + formatCell(cell) + ": " + result.violations.front();
+            RC_FAIL(minimalFailure);
         }
     });
-    if (!good) {
-        std::cout << "replay: build/tests/faultmatrix " << smallest << "\n";
+    if (!hasPassed) {
+        std::cout << "replay: build/tests/faultmatrix " << minimalFailure << "\n";
     }
-    return good ? 0 : 1;
+    return hasPassed ? 0 : 1;
 }
 
 } // namespace anvilscale::faults
--- a/tests/faults/faults.cmake
+++ b/tests/faults/faults.cmake
@@ -1,5 +1,5 @@
-# The fault matrix as tests: each fault once and twice at each step, one test for each protocol, and some random
-# sequences. All pairs take minutes: `build/tests/faultmatrix`, or `ctest -C pairs`.
+# The fault matrix as tests: per protocol, each fault once and twice at each step, and some random sequences.
+# The pairs take minutes and run with `ctest -C pairs` only.
 foreach(protocol call_plain call_stream non_idempotent_call load evict version_switch lease_take_over slot_hand_over
                  configuration_change drain engine_restart)
     add_test(NAME faults.${protocol} COMMAND faultmatrix --protocol ${protocol} --kinds short)
@@ -7,9 +7,9 @@
              CONFIGURATIONS pairs)
 endforeach()
 add_test(NAME faults.random COMMAND faultmatrix --random 400 --seed 20261202)
-# Once ended the matrix itself: a change was given to an operator's tool that an earlier fault had killed.
+# Regression: a change is submitted to an operator's tool that an earlier fault has killed.
 add_test(NAME faults.random.killed_operator COMMAND faultmatrix --random 3000 --seed 902177)
-# Cells that random search found. Each stays as it is; one whose fault stands is in KNOWN-RED.txt.
+# Regression cells found by random search. Failing ones are listed in KNOWN-RED.txt.
 function(fault_cell name cell)
     add_test(NAME faults.cell.${name} COMMAND faultmatrix --cell ${cell})
 endfunction()
--- a/tests/faults/injector.cpp
+++ b/tests/faults/injector.cpp
@@ -1,4 +1,4 @@
-// Faults: which one strikes at a pass of a step, and what it does.
+// Injection of faults and their effects.
 #include "world.h"
 
 namespace anvilscale::faults {
@@ -6,65 +6,65 @@
 namespace {
 
 constexpr Duration longDelay = Seconds(3);
-constexpr Duration overtaken = Milliseconds(4);
-constexpr Duration pauseTime = Seconds(6); // longer than a lease
-constexpr Duration outage = Seconds(7);
-constexpr Duration parting = Seconds(7);
+constexpr Duration reorderDelay = Milliseconds(4);
+constexpr Duration pauseDuration = Seconds(6); // outlasts a lease
+constexpr Duration kvOutageDuration = Seconds(7);
+constexpr Duration partitionDuration = Seconds(7);
 
 } // namespace
 
-World::Fate World::pass(Step step, Node &actor)
+Simulation::FaultEffect Simulation::injectFaults(Step step, Node &actor)
 {
-    Fate fate;
-    if (!armed_ || step == Step::Other) {
-        return fate;
+    FaultEffect effect;
+    if (!isInjecting_ || step == Step::Other) {
+        return effect;
     }
-    const auto number = ++passes_[step];
+    const auto number = ++passCounts_[step];
     for (const auto &injection : injections_) {
         if (injection.step == step && injection.pass == number) {
-            ++reached_;
+            ++injectedCount_;
             trace("fault " + std::string(toString(injection.fault)) + " at " + std::string(toString(step)) + " of "
                   + actor.name);
-            inflict(injection.fault, actor, fate);
+            applyFault(injection.fault, actor, effect);
         }
     }
-    return fate;
+    return effect;
 }
 
-void World::inflict(Fault fault, Node &actor, Fate &fate)
+void Simulation::applyFault(Fault fault, Node &actor, FaultEffect &effect)
 {
-    Node &engine = actor.sidecar() && actor.endpoint.engine ? actor : node("s1");
+    Node &engine = actor.isSidecar() && actor.endpoint.isEngine ? actor : node("s1");
     switch (fault) {
     case Fault::MessageLost:
-        fate.lost = true;
+        effect.isLost = true;
         break;
     case Fault::MessageDoubled:
-        fate.doubled = true;
+        effect.isDuplicated = true;
         break;
     case Fault::MessageDelayed:
-        fate.delay = longDelay;
+        effect.delay = longDelay;
         break;
     case Fault::MessageReordered:
-        fate.delay = overtaken;
+        effect.delay = reorderDelay;
         break;
     case Fault::ReplyLost:
-        fate.replyLost = true;
+        effect.isReplyLost = true;
         break;
     case Fault::ProcessKilled:
         kill(actor);
         break;
     case Fault::ProcessPaused:
-        actor.paused = true;
-        at(pauseTime, [this, &actor] { wake(actor); });
+        actor.isPaused = true;
+        schedule(pauseDuration, [this, &actor] { resume(actor); });
         break;
     case Fault::KeyValueDown:
-        kvDown_ = true;
+        isKvDown_ = true;
         kv_.breakWatches();
-        at(outage, [this] { kvDown_ = false; });
+        schedule(kvOutageDuration, [this] { isKvDown_ = false; });
         break;
     case Fault::KeyValueSlow:
-        kvSlow_ = true;
-        at(outage, [this] { kvSlow_ = false; });
+        isKvSlow_ = true;
+        schedule(kvOutageDuration, [this] { isKvSlow_ = false; });
         break;
     case Fault::EngineRestarted:
         restartEngine(engine);
@@ -73,22 +73,22 @@
         engine.endpoint.failNextLoad = true;
         break;
     case Fault::EndpointLeaving:
-        leave(actor.sidecar() ? actor : node("s1"), false);
+        startLeaving(actor.isSidecar() ? actor : node("s1"), false);
         break;
     case Fault::RacingOperator:
         applyChange("rival", "r1", "v2");
         break;
     case Fault::DataCentresParted:
-        parted_ = true;
-        at(parting, [this] { parted_ = false; });
+        isPartitioned_ = true;
+        schedule(partitionDuration, [this] { isPartitioned_ = false; });
         break;
     case Fault::Count:
         break;
     }
 }
 
-/// By the VM list alone, or by an order from an entry as well. The VM is replaced once its process has drained.
-void World::leave(Node &leaving, bool byOrder)
+/// Marks the node as leaving in the VM list and, if `byOrder`, sends it a drain order from an entry as well.
+void Simulation::startLeaving(Node &leaving, bool byOrder)
 {
     if (leaving.leavingSince || leaving.process == nullptr) {
         return;
@@ -102,40 +102,40 @@
         target.set_name(name);
         target.set_incarnation(leaving.incarnation);
         Node &entry = node("e1");
-        link(entry, name, message);
+        sendMessage(entry, name, message);
     }
-    // The platform's signal comes in every case, after the list.
+    // The platform's stop signal arrives after the VM list in both cases.
     post(name, Milliseconds(700), [this, &leaving] { leaving.process->sidecar->drain(nowOf(leaving)); });
 }
 
-void World::restartEngine(Node &engine)
+void Simulation::restartEngine(Node &engine)
 {
     ++engine.endpoint.incarnation;
     engine.endpoint.restartedAt = time_;
     engine.endpoint.loaded.clear();
     engine.endpoint.highestFence = 0;
     for (auto &run : runs_) {
-        run.running = run.running && run.endpoint != engine.name;
+        run.isRunning = run.isRunning && run.endpoint != engine.name;
     }
     if (engine.process == nullptr) {
         return;
     }
-    for (const auto &[execution, traffic] : engine.process->traffic) {
-        const auto cut = execution;
-        post(engine.name, Milliseconds(1), [this, name = engine.name, cut] {
-            endTraffic(name, cut, CallOutcome::Unknown, FailureReason::EndpointCut);
+    for (const auto &[execution, openExecution] : engine.process->openExecutions) {
+        const auto executionHandle = execution;
+        post(engine.name, Milliseconds(1), [this, name = engine.name, executionHandle] {
+            endExecution(name, executionHandle, CallOutcome::Unknown, FailureReason::EndpointCut);
         });
     }
 }
 
-void World::heal()
+void Simulation::clearFaults()
 {
-    kvDown_ = false;
-    kvSlow_ = false;
-    parted_ = false;
-    muted_.clear();
+    isKvDown_ = false;
+    isKvSlow_ = false;
+    isPartitioned_ = false;
+    droppedLinks_.clear();
     for (auto &[name, other] : nodes_) {
-        wake(*other);
+        resume(*other);
         other->endpoint.failNextLoad = false;
     }
 }
--- a/tests/faults/link.cpp
+++ b/tests/faults/link.cpp
@@ -1,17 +1,17 @@
-// Messages between processes, the traffic between a sidecar and its endpoint, and the key-value service.
+// Simulated messages between processes, calls to endpoints, and the key-value service.
 #include "world.h"
 
 namespace anvilscale::faults {
 
 namespace {
 
-constexpr Duration hop = Milliseconds(1);
-constexpr Duration step = Milliseconds(30); // of an answer
-constexpr Duration loadTime = Milliseconds(150);
-constexpr Duration orderPatience = Seconds(1); // then the reply counts as lost
-constexpr Duration noticeTime = Seconds(2); // of an engine's restart, by its reports
-constexpr Duration slowKv = Milliseconds(800);
-constexpr Duration kvPatience = Seconds(1);
+constexpr Duration hopDelay = Milliseconds(1);
+constexpr Duration partInterval = Milliseconds(30); // between the parts of an answer
+constexpr Duration loadDuration = Milliseconds(150);
+constexpr Duration lostReplyTimeout = Seconds(1);
+constexpr Duration restartDetectionTime = Seconds(2); // a sidecar must have detected an engine restart by then
+constexpr Duration slowKvDelay = Milliseconds(800);
+constexpr Duration kvTimeout = Seconds(1);
 
 Step stepOf(const wire::Envelope &message)
 {
@@ -94,7 +94,7 @@
 
 } // namespace
 
-PeerHandle World::peer(const std::string &identity)
+PeerHandle Simulation::peerHandle(const std::string &identity)
 {
     const auto [known, fresh] = peers_.try_emplace(identity, peerNames_.size() + 1);
     if (fresh) {
@@ -103,48 +103,49 @@
     return PeerHandle{known->second};
 }
 
-void World::link(Node &from, const std::string &to, wire::Envelope message)
+void Simulation::sendMessage(Node &from, const std::string &to, wire::Envelope message)
 {
-    if (from.dying || from.process == nullptr) {
+    if (from.isTerminating || from.process == nullptr) {
         return;
     }
     message.set_protocol(wireProtocol);
-    if (from.paused) { // decided, but not yet sent
-        from.backlog.push_back([this, &from, to, message] { link(from, to, message); });
+    if (from.isPaused) { // sent after the process resumes
+        from.pendingActions.push_back([this, &from, to, message] { sendMessage(from, to, message); });
         return;
     }
     if (message.has_call_request()) {
-        checkSent(from, to, message.call_request());
+        checkCallRequest(from, to, message.call_request());
     }
     trace(from.name + " -> " + to + " " + std::string(toString(stepOf(message))) + " "
           + std::to_string(message.body_case()));
-    const Fate fate = pass(stepOf(message), from);
-    if (from.paused || from.dying) {
-        link(from, to, std::move(message));
+    const FaultEffect effect = injectFaults(stepOf(message), from);
+    if (from.isPaused || from.isTerminating) {
+        sendMessage(from, to, std::move(message));
         return;
     }
-    const bool cut = parted_ && from.dataCentre != node(to).dataCentre;
-    if (fate.lost || cut || muted_.erase({from.name, to}) != 0) {
+    const bool isCut = isPartitioned_ && from.dataCentre != node(to).dataCentre;
+    if (effect.isLost || isCut || droppedLinks_.erase({from.name, to}) != 0) {
         return;
     }
-    if (fate.replyLost) {
-        muted_.insert({to, from.name});
+    if (effect.isReplyLost) {
+        droppedLinks_.insert({to, from.name});
     }
     const std::string sender = from.name + "/" + std::to_string(from.incarnation);
-    for (int copy = 0; copy < (fate.doubled ? 2 : 1); ++copy) {
-        post(to, hop * (copy + 1) + fate.delay, [this, to, sender, message] { receive(node(to), sender, message); });
+    for (int copy = 0; copy < (effect.isDuplicated ? 2 : 1); ++copy) {
+        post(to, hopDelay * (copy + 1) + effect.delay,
+             [this, to, sender, message] { receive(node(to), sender, message); });
     }
 }
 
-void World::receive(Node &to, const std::string &sender, const wire::Envelope &message)
+void Simulation::receive(Node &to, const std::string &sender, const wire::Envelope &message)
 {
     const std::string from = sender.substr(0, sender.find('/'));
     const Now now = nowOf(to);
     Process &process = *to.process;
     if (message.has_config_push()) {
-        process.spread->onPush(message.config_push(), now);
+        process.configDistributor->onPush(message.config_push(), now);
     } else if (message.has_config_fetch()) {
-        process.spread->onFetch(from, message.config_fetch(), now);
+        process.configDistributor->onFetch(from, message.config_fetch(), now);
     } else if (process.sidecar) {
         receiveAtSidecar(to, sender, message);
     } else if (message.has_load_result()) {
@@ -157,79 +158,82 @@
             const auto &beat = message.heartbeat();
             process.membership->onHeartbeat(beat, now);
             process.scheduler->onHeartbeat(beat, now);
-            process.spread->onPeerRevision(from, beat.config_revision(), beat.config_digest(), now);
+            process.configDistributor->onPeerRevision(from, beat.config_revision(), beat.config_digest(), now);
         }
         process.entry->onMessage(from, message, now);
     }
 }
 
-void World::receiveAtSidecar(Node &to, const std::string &sender, const wire::Envelope &message)
+void Simulation::receiveAtSidecar(Node &to, const std::string &sender, const wire::Envelope &message)
 {
     const std::string from = sender.substr(0, sender.find('/'));
     Process &process = *to.process;
     if (message.has_hello()) {
         const auto &hello = message.hello();
-        process.spread->onPeerRevision(from, hello.config_revision(), hello.config_digest(), nowOf(to));
+        process.configDistributor->onPeerRevision(from, hello.config_revision(), hello.config_digest(), nowOf(to));
     }
     if (message.has_call_request()) {
         revisionAtArrival_.try_emplace(attemptKey(message.call_request().id()), process.store.revision());
     }
-    process.sidecar->onMessage(peer(sender), message, nowOf(to));
+    process.sidecar->onMessage(peerHandle(sender), message, nowOf(to));
 }
 
-// ---- key-value service
+// Key-value service
 
-void World::submit(Node &from, const KvRequest &request)
+void Simulation::submitKv(Node &from, const KvRequest &request)
 {
-    if (from.dying || from.process == nullptr) {
+    if (from.isTerminating || from.process == nullptr) {
         return;
     }
-    if (from.paused) {
-        from.backlog.push_back([this, &from, request] { submit(from, request); });
+    if (from.isPaused) {
+        from.pendingActions.push_back([this, &from, request] { submitKv(from, request); });
         return;
     }
     trace(from.name + " -> store " + std::string(toString(request.op)) + " "
           + (request.puts.empty() ? request.key : request.puts.back().key));
-    const Fate fate = pass(stepOf(request), from);
-    if (from.paused || from.dying) {
-        submit(from, request);
+    const FaultEffect effect = injectFaults(stepOf(request), from);
+    if (from.isPaused || from.isTerminating) {
+        submitKv(from, request);
         return;
     }
     const auto incarnation = from.incarnation;
-    const bool away = kvDown_ || (parted_ && from.dataCentre != 0);
-    if (away) {
-        at(hop, [this, &from, incarnation, id = request.id] {
-            replyKv(from, incarnation, kvReply(id, KvStatus::Unavailable));
+    const bool isUnreachable = isKvDown_ || (isPartitioned_ && from.dataCentre != 0);
+    if (isUnreachable) {
+        schedule(hopDelay, [this, &from, incarnation, id = request.id] {
+            deliverKvReply(from, incarnation, kvReply(id, KvStatus::Unavailable));
         });
         return;
     }
-    if (fate.lost || fate.replyLost || fate.delay > hop * 10) {
-        at(kvPatience,
-           [this, &from, incarnation, id = request.id] { replyKv(from, incarnation, kvReply(id, KvStatus::Unknown)); });
+    if (effect.isLost || effect.isReplyLost || effect.delay > hopDelay * 10) {
+        schedule(kvTimeout, [this, &from, incarnation, id = request.id] {
+            deliverKvReply(from, incarnation, kvReply(id, KvStatus::Unknown));
+        });
     }
-    if (!fate.lost) {
-        const Duration wait = hop + fate.delay + (kvSlow_ ? slowKv / 2 : Duration(0));
-        at(wait, [this, &from, request, fate] { carryOut(from, request, fate); });
+    if (!effect.isLost) {
+        const Duration wait = hopDelay + effect.delay + (isKvSlow_ ? slowKvDelay / 2 : Duration(0));
+        schedule(wait, [this, &from, request, effect] { executeKv(from, request, effect); });
     }
 }
 
-void World::carryOut(Node &from, const KvRequest &request, const Fate &fate)
+void Simulation::executeKv(Node &from, const KvRequest &request, const FaultEffect &effect)
 {
     const auto incarnation = from.incarnation;
-    if (kvDown_ && fate.delay == Duration(0)) {
-        replyKv(from, incarnation, kvReply(request.id, KvStatus::Unknown));
+    if (isKvDown_ && effect.delay == Duration(0)) {
+        deliverKvReply(from, incarnation, kvReply(request.id, KvStatus::Unknown));
         return;
     }
     const auto sink = [this, &from, incarnation](KvReply event) {
-        at(hop, [this, &from, incarnation, event = std::move(event)] { replyKv(from, incarnation, event); });
+        schedule(hopDelay,
+                 [this, &from, incarnation, event = std::move(event)] { deliverKvReply(from, incarnation, event); });
     };
     const KvReply reply = kv_.apply(request, time_, sink);
     const bool accepted = request.op == KvOp::Txn && reply.status == KvStatus::Ok;
     if (accepted && stepOf(request) == Step::HeadWrite) {
         config::Delta delta;
         delta.ParseFromString(request.puts.front().value);
-        auto &versions = versions_[delta.revision()];
-        versions = versions_[delta.revision() - 1].empty() ? versions : versions_[delta.revision() - 1];
+        auto &versions = versionsByRevision_[delta.revision()];
+        versions =
+            versionsByRevision_[delta.revision() - 1].empty() ? versions : versionsByRevision_[delta.revision() - 1];
         acceptedChanges_.push_back(delta.change_id());
         for (const auto &change : delta.changes()) {
             const auto version = change.json().find("\"version\":\"");
@@ -238,78 +242,79 @@
             }
         }
     }
-    const bool answered = !fate.replyLost && fate.delay <= hop * 10;
-    if (answered && request.op != KvOp::WatchCancel) {
-        at(hop + (kvSlow_ ? slowKv / 2 : Duration(0)),
-           [this, &from, incarnation, reply] { replyKv(from, incarnation, reply); });
+    const bool isAnswered = !effect.isReplyLost && effect.delay <= hopDelay * 10;
+    if (isAnswered && request.op != KvOp::WatchCancel) {
+        schedule(hopDelay + (isKvSlow_ ? slowKvDelay / 2 : Duration(0)),
+                 [this, &from, incarnation, reply] { deliverKvReply(from, incarnation, reply); });
     }
 }
 
-void World::replyKv(Node &to, std::uint64_t incarnation, KvReply reply)
+void Simulation::deliverKvReply(Node &to, std::uint64_t incarnation, KvReply reply)
 {
-    if (to.process == nullptr || to.incarnation != incarnation || to.dying) {
+    if (to.process == nullptr || to.incarnation != incarnation || to.isTerminating) {
         return;
     }
-    if (to.paused) {
-        to.backlog.push_back([this, &to, incarnation, reply] { replyKv(to, incarnation, reply); });
+    if (to.isPaused) {
+        to.pendingActions.push_back([this, &to, incarnation, reply] { deliverKvReply(to, incarnation, reply); });
         return;
     }
-    if (reply.event && parted_ && to.dataCentre != 0) {
-        reply = kvReply(reply.id, KvStatus::Unavailable); // the watch's connection breaks
+    if (reply.event && isPartitioned_ && to.dataCentre != 0) {
+        reply = kvReply(reply.id, KvStatus::Unavailable); // the watch connection breaks
     }
     const Now now = nowOf(to);
     Process &process = *to.process;
     if (process.writer) {
         process.writer->onReply(reply, now);
-    } else if (!process.spread->onReply(reply, now)) {
+    } else if (!process.configDistributor->onReply(reply, now)) {
         if (process.sidecar) {
             process.sidecar->onKvReply(reply, now);
         } else if (!process.lease->onReply(reply, now)) {
-            process.slots->onReply(reply, now);
+            process.slotWatcher->onReply(reply, now);
         }
     }
-    collect(to);
+    processActions(to);
 }
 
-// ---- endpoint
+// Endpoint
 
-void World::sendOrder(Node &from, const SendOrder &order)
+void Simulation::sendOrder(Node &from, const SendOrder &order)
 {
-    if (from.paused || from.dying) {
-        from.backlog.push_back([this, &from, order] { sendOrder(from, order); });
+    if (from.isPaused || from.isTerminating) {
+        from.pendingActions.push_back([this, &from, order] { sendOrder(from, order); });
         return;
     }
     trace(from.name + " -> engine " + std::string(toString(order.kind)) + " " + order.which.text());
-    const Fate fate = pass(stepOf(order.kind), from);
-    if (from.paused || from.dying) {
+    const FaultEffect effect = injectFaults(stepOf(order.kind), from);
+    if (from.isPaused || from.isTerminating) {
         sendOrder(from, order);
         return;
     }
-    const bool replies = !fate.lost && !fate.replyLost && fate.delay <= hop * 10;
-    if (!replies) {
-        post(from.name, orderPatience, [this, &from, order] {
+    const bool isAnswered = !effect.isLost && !effect.isReplyLost && effect.delay <= hopDelay * 10;
+    if (!isAnswered) {
+        post(from.name, lostReplyTimeout, [this, &from, order] {
             from.process->sidecar->onOrderDone(order.order, OrderOutcome::Unknown, nowOf(from));
         });
     }
-    if (fate.lost) {
+    if (effect.isLost) {
         return;
     }
-    const Duration takes = order.kind == OrderKind::Load ? loadTime : hop;
-    const Duration effect = std::min(takes + fate.delay, Duration(Milliseconds(2900))); // within the order's timeout
+    const Duration orderDuration = order.kind == OrderKind::Load ? loadDuration : hopDelay;
+    const Duration effectDelay =
+        std::min(orderDuration + effect.delay, Duration(Milliseconds(2900))); // below the sidecar's order timeout
     const auto engine = from.endpoint.incarnation;
-    at(effect, [this, &from, order, replies, engine] {
-        if (from.endpoint.incarnation != engine) { // it went to an engine process that is gone
-            post(from.name, hop, [this, &from, order] {
+    schedule(effectDelay, [this, &from, order, isAnswered, engine] {
+        if (from.endpoint.incarnation != engine) { // the engine restarted: its reply is lost
+            post(from.name, hopDelay, [this, &from, order] {
                 from.process->sidecar->onOrderDone(order.order, OrderOutcome::Unknown, nowOf(from));
             });
             return;
         }
         const auto list = from.endpoint.list(runs_);
         const auto outcome = order.kind == OrderKind::List ? OrderOutcome::Done : from.endpoint.apply(order, runs_);
-        if (!replies) {
+        if (!isAnswered) {
             return;
         }
-        post(from.name, hop, [this, &from, order, list, outcome] {
+        post(from.name, hopDelay, [this, &from, order, list, outcome] {
             if (order.kind == OrderKind::List) {
                 from.process->sidecar->onEngineList(order.order, list, nowOf(from));
             } else {
@@ -319,145 +324,148 @@
     });
 }
 
-void World::start(Node &from, const StartExecution &begin, TimePoint decided)
+void Simulation::startExecution(Node &from, const StartExecution &start, TimePoint decided)
 {
-    if (from.paused || from.dying) { // decided, but the process is paused before the send
-        from.backlog.push_back([this, &from, begin, decided] { start(from, begin, decided); });
+    if (from.isPaused || from.isTerminating) { // sent after the process resumes
+        from.pendingActions.push_back([this, &from, start, decided] { startExecution(from, start, decided); });
         return;
     }
-    const Fate fate = pass(Step::CallToEndpoint, from);
-    if (from.paused || from.dying) {
-        start(from, begin, decided);
+    const FaultEffect effect = injectFaults(Step::CallToEndpoint, from);
+    if (from.isPaused || from.isTerminating) {
+        startExecution(from, start, decided);
         return;
     }
-    auto &traffic = from.process->traffic[begin.execution.value];
-    traffic.listeners.emplace_back(peerNames_.at(begin.to.value - 1), begin.request.id());
-    const auto handle = begin.execution.value;
+    auto &openExecution = from.process->openExecutions[start.execution.value];
+    openExecution.listeners.emplace_back(peerNames_.at(start.to.value - 1), start.request.id());
+    const auto handle = start.execution.value;
     const std::string name = from.name;
-    if (time_ >= begin.sendBefore) {
-        endTraffic(name, handle, CallOutcome::Failed, FailureReason::EndpointUnreachable);
+    if (time_ >= start.sendBefore) {
+        endExecution(name, handle, CallOutcome::Failed, FailureReason::EndpointUnreachable);
         return;
     }
-    if (fate.lost) { // the endpoint refuses the connection
-        post(name, hop, [this, name, handle] {
-            endTraffic(name, handle, CallOutcome::Failed, FailureReason::EndpointUnreachable);
+    if (effect.isLost) { // connection refused
+        post(name, hopDelay, [this, name, handle] {
+            endExecution(name, handle, CallOutcome::Failed, FailureReason::EndpointUnreachable);
         });
         return;
     }
-    if (fate.replyLost) {
-        post(name, hop * 5,
-             [this, name, handle] { endTraffic(name, handle, CallOutcome::Unknown, FailureReason::EndpointCut); });
+    if (effect.isReplyLost) {
+        post(name, hopDelay * 5,
+             [this, name, handle] { endExecution(name, handle, CallOutcome::Unknown, FailureReason::EndpointCut); });
     }
     const auto incarnation = from.incarnation;
     const auto engine = from.endpoint.incarnation;
-    at(hop + fate.delay, [this, &from, begin, decided, incarnation, engine, cut = fate.replyLost] {
-        // The connection of a process that has ended is closed before the endpoint reads from it. So is one that was
-        // given up by a cancel, and one to an endpoint process that has ended: its bytes reach no later process.
-        const bool senderLives = from.incarnation == incarnation && from.process != nullptr && !from.dying;
-        const bool open = senderLives && from.process->traffic.contains(begin.execution.value);
-        if (open && from.endpoint.incarnation == engine) {
-            runAtEndpoint(from.name, begin, decided, cut);
+    schedule(hopDelay + effect.delay, [this, &from, start, decided, incarnation, engine, isCut = effect.isReplyLost] {
+        // The request is dropped if its connection closed meanwhile: the sidecar exited, the execution was cancelled,
+        // or the endpoint process restarted.
+        const bool isSenderAlive = from.incarnation == incarnation && from.process != nullptr && !from.isTerminating;
+        const bool isOpen = isSenderAlive && from.process->openExecutions.contains(start.execution.value);
+        if (isOpen && from.endpoint.incarnation == engine) {
+            runAtEndpoint(from.name, start, decided, isCut);
         }
     });
 }
 
-void World::runAtEndpoint(const std::string &sidecar, const StartExecution &begin, TimePoint decided, bool cut)
+void Simulation::runAtEndpoint(const std::string &sidecar, const StartExecution &start, TimePoint decided, bool isCut)
 {
-    Node &at = node(sidecar);
-    const AdapterVersion which{begin.request.adapter(), begin.request.version()};
-    const bool justRestarted = time_ - at.endpoint.restartedAt < noticeTime;
-    if (!which.empty() && !at.endpoint.loaded.contains(which) && justRestarted) {
-        // An engine knows no such model and says so; nothing runs. Later the sidecar has to know better.
-        post(sidecar, hop, [this, sidecar, handle = begin.execution.value] {
-            endTraffic(sidecar, handle, CallOutcome::Failed, FailureReason::EndpointError);
+    Node &sidecarNode = node(sidecar);
+    const AdapterVersion which{start.request.adapter(), start.request.version()};
+    const bool hasJustRestarted = time_ - sidecarNode.endpoint.restartedAt < restartDetectionTime;
+    if (!which.empty() && !sidecarNode.endpoint.loaded.contains(which) && hasJustRestarted) {
+        // A restarted engine rejects the unknown adapter. The sidecar must have detected the restart by the end of
+        // this window.
+        post(sidecar, hopDelay, [this, sidecar, handle = start.execution.value] {
+            endExecution(sidecar, handle, CallOutcome::Failed, FailureReason::EndpointError);
         });
         return;
     }
     Run run;
     run.id = runs_.size() + 1;
     run.endpoint = sidecar;
-    run.body = begin.request.body();
-    run.attempt = begin.request.headers().empty() ? "" : begin.request.headers(0).value();
-    run.key = begin.request.key();
-    run.route = begin.request.route();
-    run.which = which;
-    run.stream = begin.request.stream();
-    run.decided = decided;
-    run.engine = at.endpoint.incarnation;
+    run.body = start.request.body();
+    run.tryId = start.request.headers().empty() ? "" : start.request.headers(0).value();
+    run.key = start.request.key();
+    run.route = start.request.route();
+    run.adapter = which;
+    run.isStream = start.request.stream();
+    run.decidedAt = decided;
+    run.engineIncarnation = sidecarNode.endpoint.incarnation;
     runs_.push_back(run);
-    checkRun(run, at, begin);
-    auto &traffic = at.process->traffic[begin.execution.value];
-    traffic.run = cut ? 0 : run.id;
-    partFromEndpoint(sidecar, begin.execution.value, run.id, 0);
+    checkRun(run, sidecarNode, start);
+    auto &openExecution = sidecarNode.process->openExecutions[start.execution.value];
+    openExecution.runId = isCut ? 0 : run.id;
+    scheduleAnswerPart(sidecar, start.execution.value, run.id, 0);
 }
 
-/// The endpoint produces one part after another, whatever has become of the connection.
-void World::partFromEndpoint(const std::string &sidecar, std::uint64_t execution, std::uint64_t run,
-                             std::uint32_t number)
+/// Produces the parts of an answer one by one, independent of the state of the connection.
+void Simulation::scheduleAnswerPart(const std::string &sidecar, std::uint64_t execution, std::uint64_t run,
+                                    std::uint32_t number)
 {
-    at(step, [this, sidecar, execution, run, number] {
+    schedule(partInterval, [this, sidecar, execution, run, number] {
         Run &source = runs_[run - 1];
-        if (!source.running) {
+        if (!source.isRunning) {
             return;
         }
-        const bool last = number + 1 == source.parts();
-        source.running = !last;
-        const Fate fate = pass(last ? Step::EndpointAnswer : Step::EndpointFirstByte, node(sidecar));
-        const bool cut = fate.lost || fate.replyLost;
-        const std::string data = source.part(number);
-        // One connection carries the parts: a delay holds back all that follows.
-        source.arrivesAt = std::max(source.arrivesAt, time_ + hop + fate.delay);
-        post(sidecar, source.arrivesAt - time_, [this, sidecar, execution, run, data, last, cut] {
+        const bool isLast = number + 1 == source.partCount();
+        source.isRunning = !isLast;
+        const FaultEffect effect = injectFaults(isLast ? Step::EndpointAnswer : Step::EndpointFirstByte, node(sidecar));
+        const bool isCut = effect.isLost || effect.isReplyLost;
+        const std::string data = source.partText(number);
+        // All parts share one connection, so a delay holds back the following parts as well.
+        source.arrivesAt = std::max(source.arrivesAt, time_ + hopDelay + effect.delay);
+        post(sidecar, source.arrivesAt - time_, [this, sidecar, execution, run, data, isLast, isCut] {
             Node &to = node(sidecar);
-            const auto traffic = to.process->traffic.find(execution);
-            if (traffic == to.process->traffic.end() || traffic->second.run != run) {
+            const auto openExecution = to.process->openExecutions.find(execution);
+            if (openExecution == to.process->openExecutions.end() || openExecution->second.runId != run) {
                 return;
             }
-            if (cut) {
-                endTraffic(sidecar, execution, CallOutcome::Unknown, FailureReason::EndpointCut);
+            if (isCut) {
+                endExecution(sidecar, execution, CallOutcome::Unknown, FailureReason::EndpointCut);
                 return;
             }
-            if (traffic->second.frames.empty()) {
+            if (openExecution->second.frames.empty()) {
                 to.process->sidecar->onExecutionStarted(ExecutionHandle{execution}, nowOf(to));
             }
-            frame(to, traffic->second, data);
-            if (last) {
-                endTraffic(sidecar, execution, CallOutcome::Complete, FailureReason::None);
+            sendFrame(to, openExecution->second, data);
+            if (isLast) {
+                endExecution(sidecar, execution, CallOutcome::Complete, FailureReason::None);
             }
         });
-        if (!last) {
-            partFromEndpoint(sidecar, execution, run, number + 1);
+        if (!isLast) {
+            scheduleAnswerPart(sidecar, execution, run, number + 1);
         }
     });
 }
 
-void World::frame(Node &from, Traffic &traffic, const std::string &data)
+void Simulation::sendFrame(Node &from, OpenExecution &openExecution, const std::string &data)
 {
-    traffic.frames.push_back(data);
-    for (const auto &[to, id] : traffic.listeners) {
+    openExecution.frames.push_back(data);
+    for (const auto &[to, id] : openExecution.listeners) {
         wire::Envelope message;
         auto &out = *message.mutable_call_frame();
         *out.mutable_id() = id;
-        out.set_sequence(static_cast<std::uint32_t>(traffic.frames.size() - 1));
-        out.set_status(traffic.frames.size() == 1 ? 200 : 0);
+        out.set_sequence(static_cast<std::uint32_t>(openExecution.frames.size() - 1));
+        out.set_status(openExecution.frames.size() == 1 ? 200 : 0);
         out.set_data(data);
-        link(from, to, std::move(message));
+        sendMessage(from, to, std::move(message));
     }
 }
 
-void World::sendFrames(Node &from, const Traffic &traffic, const std::string &to, const wire::AttemptId &id)
+void Simulation::resendFrames(Node &from, const OpenExecution &openExecution, const std::string &to,
+                              const wire::AttemptId &id)
 {
-    Traffic replayed;
+    OpenExecution replayed;
     replayed.listeners.emplace_back(to, id);
-    for (const auto &data : traffic.frames) {
-        frame(from, replayed, data);
+    for (const auto &data : openExecution.frames) {
+        sendFrame(from, replayed, data);
     }
 }
 
-void World::endTraffic(const std::string &sidecar, std::uint64_t execution, CallOutcome outcome, FailureReason failure)
+void Simulation::endExecution(const std::string &sidecar, std::uint64_t execution, CallOutcome outcome,
+                              FailureReason failure)
 {
     Node &from = node(sidecar);
-    auto ended = from.process->traffic.extract(execution);
+    auto ended = from.process->openExecutions.extract(execution);
     if (ended.empty()) {
         return;
     }
@@ -475,42 +483,42 @@
         out.set_digest(digest.value());
         out.set_outcome(static_cast<std::uint32_t>(outcome));
         out.set_failure(static_cast<std::uint32_t>(failure));
-        link(from, to, std::move(message));
+        sendMessage(from, to, std::move(message));
     }
     from.process->sidecar->onExecutionEnded(ExecutionHandle{execution}, std::move(answer), 1, nowOf(from));
 }
 
-void World::cancel(Node &from, const CancelExecution &cancelled)
+void Simulation::cancelExecution(Node &from, const CancelExecution &cancelled)
 {
-    const auto traffic = from.process->traffic.find(cancelled.execution.value);
-    if (traffic == from.process->traffic.end()) {
+    const auto openExecution = from.process->openExecutions.find(cancelled.execution.value);
+    if (openExecution == from.process->openExecutions.end()) {
         return;
     }
-    const auto run = traffic->second.run;
-    if (run != 0 && from.endpoint.engine) {
-        runs_[run - 1].running = false;
+    const auto run = openExecution->second.runId;
+    if (run != 0 && from.endpoint.isEngine) {
+        runs_[run - 1].isRunning = false;
     }
-    post(from.name, hop, [this, name = from.name, cancelled] {
-        endTraffic(name, cancelled.execution.value, CallOutcome::Cancelled, cancelled.why);
+    post(from.name, hopDelay, [this, name = from.name, cancelled] {
+        endExecution(name, cancelled.execution.value, CallOutcome::Cancelled, cancelled.why);
     });
 }
 
-void World::replay(Node &from, const ReplayAnswer &again)
+void Simulation::replayAnswer(Node &from, const ReplayAnswer &replayed)
 {
-    const std::string to = peerNames_.at(again.to.value - 1);
-    Traffic traffic;
-    traffic.listeners.emplace_back(to, again.id);
-    frame(from, traffic, again.answer->body);
+    const std::string to = peerNames_.at(replayed.to.value - 1);
+    OpenExecution openExecution;
+    openExecution.listeners.emplace_back(to, replayed.id);
+    sendFrame(from, openExecution, replayed.answer->body);
     Digest digest;
-    digest.add(again.answer->body);
+    digest.add(replayed.answer->body);
     wire::Envelope message;
     auto &out = *message.mutable_call_end();
-    *out.mutable_id() = again.id;
+    *out.mutable_id() = replayed.id;
     out.set_frames(1);
     out.set_digest(digest.value());
-    out.set_outcome(static_cast<std::uint32_t>(again.answer->outcome));
+    out.set_outcome(static_cast<std::uint32_t>(replayed.answer->outcome));
     out.set_replayed(true);
-    link(from, to, std::move(message));
+    sendMessage(from, to, std::move(message));
 }
 
 } // namespace anvilscale::faults
--- a/tests/faults/main.cpp
+++ b/tests/faults/main.cpp
@@ -1,4 +1,4 @@
-// The fault matrix: every fault at every step of every protocol, once, twice and in pairs.
+// The program faultmatrix: plays every fault at every step of every protocol, once, twice and in pairs.
 #include "cells.h"
 
 #include <cxxopts.hpp>
@@ -18,16 +18,16 @@
     return 0;
 }
 
-int runOne(const std::string &text, const AllSafeguards &safeguards, bool trace)
+int playOneCell(const std::string &text, const AllSafeguards &safeguards, bool trace)
 {
     const auto cell = parseCell(text);
     if (!cell) {
         std::cerr << "not a cell: " << text << "\n";
         return 2;
     }
-    const auto result = play(*cell, safeguards, trace ? &std::cout : nullptr);
-    std::cout << describe(*cell) << ": " << result.runs << " runs, " << result.finished << " calls finished, "
-              << result.reached << " faults injected\n";
+    const auto result = playCell(*cell, safeguards, trace ? &std::cout : nullptr);
+    std::cout << formatCell(*cell) << ": " << result.runCount << " runs, " << result.finishedCalls
+              << " calls finished, " << result.injectedCount << " faults injected\n";
     for (const auto &violation : result.violations) {
         std::cout << "  " << violation << "\n";
     }
@@ -51,34 +51,34 @@
     add("stop-at-first", "end at the first violation");
     add("markdown", "print the table for docs/faults.md");
     add("help", "this text");
-    const auto given = options.parse(argc, argv);
-    if (given.count("help") != 0) {
+    const auto parsedOptions = options.parse(argc, argv);
+    if (parsedOptions.count("help") != 0) {
         std::cout << options.help();
         return 0;
     }
-    if (given.count("list-safeguards") != 0) {
+    if (parsedOptions.count("list-safeguards") != 0) {
         return listSafeguards();
     }
     AllSafeguards safeguards;
-    if (given.count("without") != 0) {
-        const auto name = given["without"].as<std::string>();
-        if (!switchOff(name, safeguards)) {
+    if (parsedOptions.count("without") != 0) {
+        const auto name = parsedOptions["without"].as<std::string>();
+        if (!disableSafeguard(name, safeguards)) {
             std::cerr << "no such safeguard: " << name << "\n";
             return 2;
         }
     }
-    if (given.count("cell") != 0) {
-        return runOne(given["cell"].as<std::string>(), safeguards, given.count("trace") != 0);
+    if (parsedOptions.count("cell") != 0) {
+        return playOneCell(parsedOptions["cell"].as<std::string>(), safeguards, parsedOptions.count("trace") != 0);
     }
-    if (given.count("random") != 0) {
-        return playRandom(given["random"].as<int>(), given["seed"].as<std::uint64_t>(), safeguards);
+    if (parsedOptions.count("random") != 0) {
+        return playRandom(parsedOptions["random"].as<int>(), parsedOptions["seed"].as<std::uint64_t>(), safeguards);
     }
-    MatrixOptions matrix;
-    matrix.kinds = given["kinds"].as<std::string>();
-    matrix.stopAtFirst = given.count("stop-at-first") != 0;
-    matrix.markdown = given.count("markdown") != 0;
-    if (given.count("protocol") != 0) {
-        matrix.only = fromString<Protocol>(given["protocol"].as<std::string>());
+    MatrixOptions matrixOptions;
+    matrixOptions.kinds = parsedOptions["kinds"].as<std::string>();
+    matrixOptions.stopAtFirst = parsedOptions.count("stop-at-first") != 0;
+    matrixOptions.markdown = parsedOptions.count("markdown") != 0;
+    if (parsedOptions.count("protocol") != 0) {
+        matrixOptions.onlyProtocol = fromString<Protocol>(parsedOptions["protocol"].as<std::string>());
     }
-    return playMatrix(matrix, safeguards);
+    return playMatrix(matrixOptions, safeguards);
 }
--- a/tests/faults/stand_in.h
+++ b/tests/faults/stand_in.h
@@ -1,5 +1,5 @@
-// A stand-in endpoint: an engine with adapter slots, or a plain service. It keeps books of what really ran; the
-// invariants are checked against these, never against what the product believes.
+// A stand-in endpoint: an engine with adapter slots, or a plain service. The invariants are checked against its state
+// and the recorded runs, independent of the state of the product.
 #pragma once
 
 #include "anvilscale/residency.h"
@@ -11,46 +11,47 @@
 
 namespace anvilscale::faults {
 
-/// One execution as the endpoint saw it.
+/// One execution as recorded by the endpoint.
 struct Run
 {
     std::uint64_t id = 0;
     std::string endpoint;
-    std::string body; ///< names the caller's call
-    std::string attempt; ///< names the caller's try
+    std::string body; ///< id of the caller's call
+    std::string tryId; ///< id of the caller's try
     std::string key;
     std::string route;
-    AdapterVersion which;
-    TimePoint decided; ///< when its sidecar decided to send it
-    std::uint64_t engine = 0; ///< incarnation that ran it
-    TimePoint arrivesAt; ///< of its last part at the sidecar
-    bool running = true;
-    bool stream = false;
+    AdapterVersion adapter;
+    TimePoint decidedAt; ///< the sidecar's decision to send it
+    std::uint64_t engineIncarnation = 0; ///< engine incarnation that ran it
+    TimePoint arrivesAt; ///< arrival of the last sent part at the sidecar
+    bool isRunning = true;
+    bool isStream = false;
 
-    /// Every part of an answer carries the run that it came from, so that a splice shows.
-    std::string part(std::uint32_t number) const
+    /// Text of one part of the answer. It contains the run's id, so that an answer mixed from two runs is detected.
+    std::string partText(std::uint32_t number) const
     {
-        return "[" + std::to_string(id) + "|" + body + "|" + which.text() + "|" + std::to_string(number) + "]";
+        return "[" + std::to_string(id) + "|" + body + "|" + adapter.text() + "|" + std::to_string(number) + "]";
     }
-    std::uint32_t parts() const
+    std::uint32_t partCount() const
     {
-        return stream ? 4 : 1;
+        return isStream ? 4 : 1;
     }
-    std::string answer() const
+    std::string fullAnswer() const
     {
-        std::string whole;
-        for (std::uint32_t i = 0; i < parts(); ++i) {
-            whole += part(i);
+        std::string text;
+        for (std::uint32_t i = 0; i < partCount(); ++i) {
+            text += partText(i);
         }
-        return whole;
+        return text;
     }
 };
 
-class StandIn
+/// Endpoint with its adapter slots and fencing number.
+class StandInEndpoint
 {
 public:
     std::string name;
-    bool engine = true;
+    bool isEngine = true;
     bool checksFence = true;
     std::uint32_t slots = 2;
     std::uint64_t incarnation = 1;
@@ -70,7 +71,7 @@
             return load(order.which);
         }
         if (order.kind == OrderKind::Unload) {
-            if (running(order.which, runs) != 0) {
+            if (countRunning(order.which, runs) != 0) {
                 violations->push_back("evicted under a running call: " + order.which.text() + " at " + name);
             }
             loaded.erase(order.which);
@@ -84,7 +85,7 @@
         result.highestFence = checksFence ? highestFence : 0;
         result.loaded.assign(loaded.begin(), loaded.end());
         for (const auto &which : loaded) {
-            if (const auto count = running(which, runs); count != 0) {
+            if (const auto count = countRunning(which, runs); count != 0) {
                 result.running.emplace_back(which, count);
             }
         }
@@ -104,11 +105,11 @@
         loaded.insert(which);
         return OrderOutcome::Done;
     }
-    std::uint32_t running(const AdapterVersion &which, const std::vector<Run> &runs) const
+    std::uint32_t countRunning(const AdapterVersion &which, const std::vector<Run> &runs) const
     {
         std::uint32_t count = 0;
         for (const auto &run : runs) {
-            count += run.running && run.endpoint == name && run.which == which ? 1 : 0;
+            count += run.isRunning && run.endpoint == name && run.adapter == which ? 1 : 0;
         }
         return count;
     }
--- a/tests/faults/tables.cpp
+++ b/tests/faults/tables.cpp
@@ -1,4 +1,4 @@
-// Which steps each protocol passes.
+// Steps of each protocol.
 #include "tables.h"
 
 namespace anvilscale::faults {
--- a/tests/faults/tables.h
+++ b/tests/faults/tables.h
@@ -1,4 +1,4 @@
-// The tables of the fault matrix: protocols, their steps, and the faults that are injected at each step.
+// Protocols, steps and faults of the fault matrix.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -7,6 +7,7 @@
 
 namespace anvilscale::faults {
 
+/// Scenario that a cell simulates.
 enum class Protocol : std::uint8_t {
     CallPlain,
     CallStream,
@@ -22,7 +23,7 @@
     Count
 };
 
-/// Points that a protocol passes; the link tells the injector each time.
+/// Points of a protocol at which faults can be injected.
 enum class Step : std::uint8_t {
     CallRequest,
     CallFrame,
@@ -49,7 +50,7 @@
     SlotTableWrite,
     HeadRead,
     HeadWrite,
-    Other, ///< not named in the table; nothing is injected
+    Other, ///< no faults are injected here
     Count
 };
 
@@ -71,9 +72,10 @@
     Count
 };
 
+/// Steps at which the matrix injects faults into the protocol, in order.
 std::span<const Step> stepsOf(Protocol protocol);
 
-/// A fault at the given pass of a step.
+/// A fault at the given pass of a step. Passes count from 1.
 struct Injection
 {
     Step step = Step::Other;
--- a/tests/faults/world.cpp
+++ b/tests/faults/world.cpp
@@ -1,4 +1,4 @@
-// Time, processes and their start.
+// Virtual time, and starting and stopping of simulated processes.
 #include "world.h"
 
 namespace anvilscale::faults {
@@ -6,46 +6,47 @@
 namespace {
 
 constexpr std::int64_t wallStart = 1'764'700'000'000;
-constexpr std::size_t fewKeys = 4; // so that the table of seen keys is full during the calls
-constexpr Duration vmListEvery = Milliseconds(500);
-constexpr Duration warmUp = Seconds(8);
+constexpr std::size_t maxSeenKeys = 4; // small enough that the table of seen keys fills up during the calls
+constexpr Duration vmListInterval = Milliseconds(500);
+constexpr Duration warmUpTime = Seconds(8);
 constexpr Duration faultTime = Seconds(16);
-constexpr Duration healTime = Seconds(14);
+constexpr Duration recoveryTime = Seconds(14);
 constexpr Duration probeTime = Seconds(6);
 
-Timing shortTimes()
+Timing shortTiming()
 {
     Timing timing;
     timing.heartbeat = Milliseconds(200);
     timing.suspect = Seconds(1);
     timing.lease = Seconds(4);
     timing.leaseMargin = Seconds(1);
-    timing.vmList = vmListEvery;
+    timing.vmList = vmListInterval;
     timing.configPoll = Seconds(1);
     return timing;
 }
 
-config::Change record(const std::string &json)
+config::Change parseKnownRecord(const std::string &json)
 {
     return *parseRecord(json);
 }
 
 } // namespace
 
-World::World(Protocol protocol, std::vector<Injection> injections, AllSafeguards safeguards, std::uint64_t seed)
+Simulation::Simulation(Protocol protocol, std::vector<Injection> injections, AllSafeguards safeguards,
+                       std::uint64_t seed)
     : protocol_(protocol)
     , injections_(std::move(injections))
     , safeguards_(safeguards)
     , random_(seed)
 {
-    const auto add = [this](const char *name, NodeKind kind, int dataCentre, std::int64_t clockError) {
+    const auto add = [this](const char *name, NodeKind kind, int dataCentre, std::int64_t clockOffsetMs) {
         auto fresh = std::make_unique<Node>();
         fresh->name = name;
         fresh->kind = kind;
         fresh->dataCentre = dataCentre;
-        fresh->clockError = clockError;
+        fresh->clockOffsetMs = clockOffsetMs;
         fresh->endpoint.name = name;
-        fresh->endpoint.engine = kind == NodeKind::EngineSidecar;
+        fresh->endpoint.isEngine = kind == NodeKind::EngineSidecar;
         fresh->endpoint.checksFence = dataCentre == 0;
         fresh->endpoint.violations = &violations_;
         nodes_[name] = std::move(fresh);
@@ -60,58 +61,58 @@
     add("rival", NodeKind::Operator, 1, 0);
 }
 
-World::~World() = default;
+Simulation::~Simulation() = default;
 
-void World::at(Duration wait, Action action)
+void Simulation::schedule(Duration wait, Action action)
 {
     events_[{time_ + wait, ++lastEvent_}] = Event{std::move(action)};
 }
 
-/// Carries the action out within the process that runs there now, unless that has ended by then.
-void World::post(const std::string &name, Duration wait, Action action)
+/// Runs the action in the node's current process after `wait`; drops it if that process has exited by then.
+void Simulation::post(const std::string &name, Duration wait, Action action)
 {
     const auto incarnation = node(name).incarnation;
-    at(wait, [this, name, incarnation, action = std::move(action)] {
+    schedule(wait, [this, name, incarnation, action = std::move(action)] {
         Node &to = node(name);
-        if (to.incarnation != incarnation || to.process == nullptr || to.dying) {
+        if (to.incarnation != incarnation || to.process == nullptr || to.isTerminating) {
             return;
         }
-        if (to.paused) {
-            to.backlog.push_back(action);
+        if (to.isPaused) {
+            to.pendingActions.push_back(action);
             return;
         }
         action();
-        collect(to);
+        processActions(to);
     });
 }
 
-void World::runUntil(TimePoint end)
+void Simulation::runUntil(TimePoint end)
 {
     for (;;) {
         TimePoint next = events_.empty() ? end : std::min(end, events_.begin()->first.first);
-        Node *due = nullptr;
+        Node *dueNode = nullptr;
         for (auto &[name, candidate] : nodes_) {
-            if (candidate->process == nullptr || candidate->paused || candidate->dying) {
+            if (candidate->process == nullptr || candidate->isPaused || candidate->isTerminating) {
                 continue;
             }
             const auto timer = candidate->process->timers.next();
             if (timer && std::max(*timer, time_) < next) {
                 next = std::max(*timer, time_);
-                due = candidate.get();
+                dueNode = candidate.get();
             }
         }
         if (next >= end) {
             break;
         }
         time_ = std::max(time_, next);
-        if (due != nullptr) {
-            due->process->timers.advance(time_);
-            collect(*due);
+        if (dueNode != nullptr) {
+            dueNode->process->timers.advance(time_);
+            processActions(*dueNode);
         } else {
             auto event = events_.extract(events_.begin());
             event.mapped().action();
         }
-        checkAlways();
+        checkInvariants();
         if (!violations_.empty()) {
             return;
         }
@@ -119,50 +120,50 @@
     time_ = end;
 }
 
-Now World::nowOf(const Node &at) const
+Now Simulation::nowOf(const Node &clockNode) const
 {
     const auto ms = std::chrono::duration_cast<Milliseconds>(time_.time_since_epoch()).count();
-    return Now{time_, WallTime{wallStart + ms + at.clockError}};
+    return Now{time_, WallTime{wallStart + ms + clockNode.clockOffsetMs}};
 }
 
-Node &World::node(const std::string &name)
+Node &Simulation::node(const std::string &name)
 {
     return *nodes_.at(name);
 }
 
-void World::boot(Node &node)
+void Simulation::startProcess(Node &node)
 {
     ++node.incarnation;
-    node.paused = false;
-    node.dying = false;
+    node.isPaused = false;
+    node.isTerminating = false;
     node.leavingSince.reset();
-    node.backlog.clear();
+    node.pendingActions.clear();
     node.process = std::make_unique<Process>();
     if (node.kind == NodeKind::Operator) {
-        bootOperator(node);
+        startOperator(node);
     } else if (node.kind == NodeKind::Entry) {
-        bootEntry(node);
+        startEntry(node);
     } else {
-        bootSidecar(node);
+        startSidecar(node);
     }
-    collect(node);
+    processActions(node);
 }
 
-void World::bootSpread(Node &node, bool mayWatch)
+void Simulation::createConfigDistributor(Node &node, bool mayWatch)
 {
     ConfigSpread::Init init;
     init.self = node.name;
     init.incarnation = node.incarnation;
     init.dataCentre = std::to_string(node.dataCentre);
     init.mayWatch = mayWatch;
-    init.timing = shortTimes();
+    init.timing = shortTiming();
     init.store = &node.process->store;
     init.timers = &node.process->timers;
     init.seed = random_.next();
     ConfigSpread::Callbacks callbacks;
-    callbacks.submit = [this, &node](const KvRequest &request) { submit(node, request); };
+    callbacks.submit = [this, &node](const KvRequest &request) { submitKv(node, request); };
     callbacks.sendToPeer = [this, &node](const std::string &to, const wire::Envelope &message) {
-        link(node, to, message);
+        sendMessage(node, to, message);
     };
     callbacks.changed = [&node](Now now) {
         if (node.process->entry) {
@@ -172,33 +173,33 @@
             node.process->sidecar->onConfigChanged(now);
         }
     };
-    node.process->spread = std::make_unique<ConfigSpread>(init, callbacks);
+    node.process->configDistributor = std::make_unique<ConfigSpread>(init, callbacks);
 }
 
-void World::bootEntry(Node &node)
+void Simulation::startEntry(Node &node)
 {
     Process &process = *node.process;
-    bootSpread(node, true);
+    createConfigDistributor(node, true);
     EntryInit init;
     init.name = node.name;
     init.incarnation = node.incarnation;
     init.dataCentre = std::to_string(node.dataCentre);
-    init.timing = shortTimes();
+    init.timing = shortTiming();
     init.config = &process.store;
     init.timers = &process.timers;
     init.seed = random_.next();
     init.safeguards = safeguards_.entry;
     process.entry = std::make_unique<EntryDecisions>(init);
-    const auto toService = [this, &node](const KvRequest &request) { submit(node, request); };
-    LeaseKeeper::Init lease{"/anvilscale/scheduler", node.name,      node.incarnation, node.name, shortTimes(),
-                            &process.timers,         random_.next(), safeguards_.state};
+    const auto toService = [this, &node](const KvRequest &request) { submitKv(node, request); };
+    LeaseKeeper::Init lease{"/anvilscale/scheduler", node.name,       node.incarnation, node.name,
+                            shortTiming(),           &process.timers, random_.next(),   safeguards_.state};
     process.lease = std::make_unique<LeaseKeeper>(lease, toService);
     LoadScheduler::Init scheduling{node.name, node.incarnation, &process.store, &process.timers, random_.next()};
     process.scheduler = std::make_unique<LoadScheduler>(
         scheduling, [&process](TimePoint now) { return process.lease->mayAct(now); },
         [&process] { return process.lease->fence(); });
     Membership::Init members;
-    members.timing = shortTimes();
+    members.timing = shortTiming();
     members.timers = &process.timers;
     members.safeguards = safeguards_.state;
     process.membership = std::make_unique<Membership>(members, [this, &node, &process](const Member &member) {
@@ -207,32 +208,32 @@
         process.scheduler->onMember(member, nowOf(node));
     });
     KeyFollower::Init follow{"/anvilscale/slots/", "/anvilscale/slots0", &process.timers, Seconds(2), random_.next()};
-    process.slots = std::make_unique<KeyFollower>(follow, toService,
-                                                  [&process](const std::vector<KvEntry> &entries, bool, Now now) {
-                                                      for (const auto &entry : entries) {
-                                                          config::SlotTable table;
-                                                          if (!entry.deleted && table.ParseFromString(entry.value)) {
-                                                              process.entry->onSlotTable(table, now);
-                                                          }
-                                                      }
-                                                  });
-    process.spread->start(nowOf(node));
+    process.slotWatcher = std::make_unique<KeyFollower>(
+        follow, toService, [&process](const std::vector<KvEntry> &entries, bool, Now now) {
+            for (const auto &entry : entries) {
+                config::SlotTable table;
+                if (!entry.deleted && table.ParseFromString(entry.value)) {
+                    process.entry->onSlotTable(table, now);
+                }
+            }
+        });
+    process.configDistributor->start(nowOf(node));
     process.lease->start(nowOf(node));
-    process.slots->start(nowOf(node));
-    post(node.name, shortTimes().heartbeat, [this, &node] { sayHello(node); });
+    process.slotWatcher->start(nowOf(node));
+    post(node.name, shortTiming().heartbeat, [this, &node] { sendHello(node); });
 }
 
-void World::bootSidecar(Node &node)
+void Simulation::startSidecar(Node &node)
 {
     Process &process = *node.process;
-    bootSpread(node, false);
+    createConfigDistributor(node, false);
     SidecarInit init;
     init.name = node.name;
     init.incarnation = node.incarnation;
     init.dataCentre = std::to_string(node.dataCentre);
-    init.kind = node.endpoint.engine ? EndpointKind::Engine : EndpointKind::Service;
-    init.baseModel = node.endpoint.engine ? "base" : "";
-    if (!node.endpoint.engine) {
+    init.kind = node.endpoint.isEngine ? EndpointKind::Engine : EndpointKind::Service;
+    init.baseModel = node.endpoint.isEngine ? "base" : "";
+    if (!node.endpoint.isEngine) {
         init.services = {"admission"};
     }
     init.slots = node.endpoint.slots;
@@ -241,19 +242,19 @@
     init.orderTimeout = Seconds(3);
     init.seenKeys.safeguards = safeguards_.state;
     if (protocol_ == Protocol::NonIdempotentCall) {
-        init.seenKeys.keys = fewKeys;
+        init.seenKeys.keys = maxSeenKeys;
     }
-    init.timing = shortTimes();
+    init.timing = shortTiming();
     init.config = &process.store;
     init.timers = &process.timers;
     init.seed = random_.next();
     init.safeguards = safeguards_.sidecar;
     process.sidecar = std::make_unique<SidecarDecisions>(init);
-    process.spread->start(nowOf(node));
+    process.configDistributor->start(nowOf(node));
     process.sidecar->start(nowOf(node));
 }
 
-void World::bootOperator(Node &node)
+void Simulation::startOperator(Node &node)
 {
     ConfigWriter::Init init;
     init.author = node.name;
@@ -262,98 +263,100 @@
     init.seed = random_.next();
     init.safeguards = safeguards_.state;
     node.process->writer = std::make_unique<ConfigWriter>(
-        init, [this, &node](const KvRequest &request) { submit(node, request); },
-        [this, &node](const ConfigWriter::Result &result, Now) { checkWritten(node, result); });
+        init, [this, &node](const KvRequest &request) { submitKv(node, request); },
+        [this, &node](const ConfigWriter::Result &result, Now) { checkChangeResult(node, result); });
 }
 
-void World::collect(Node &node)
+void Simulation::processActions(Node &node)
 {
-    if (node.process == nullptr || node.dying) {
+    if (node.process == nullptr || node.isTerminating) {
         return;
     }
     Process &process = *node.process;
     if (process.scheduler) {
-        const bool may = process.lease->mayAct(time_);
-        if (may && !process.scheduling) {
+        const bool mayAct = process.lease->mayAct(time_);
+        if (mayAct && !process.isScheduler) {
             process.scheduler->onTakeOver(nowOf(node));
         }
-        process.scheduling = may;
+        process.isScheduler = mayAct;
         for (auto &send : process.scheduler->takeActions()) {
-            link(node, send.sidecar, std::move(send.message));
+            sendMessage(node, send.sidecar, std::move(send.message));
         }
     }
     if (process.entry) {
         for (auto &action : process.entry->takeActions()) {
-            std::visit(Overloaded{[&](SendToSidecar &send) { link(node, send.sidecar, std::move(send.message)); },
-                                  [&](const DeliverFrame &frame) { deliver(frame); },
-                                  [&](const FinishCall &done) { finish(done); },
-                                  [&](const FailCall &failed) { fail(failed); }},
-                       action);
+            std::visit(
+                Overloaded{[&](SendToSidecar &send) { sendMessage(node, send.sidecar, std::move(send.message)); },
+                           [&](const DeliverFrame &frame) { onFrame(frame); },
+                           [&](const FinishCall &done) { onFinished(done); },
+                           [&](const FailCall &failed) { onFailed(failed); }},
+                action);
         }
     }
     if (!process.sidecar) {
         return;
     }
     for (auto &action : process.sidecar->takeActions()) {
-        std::visit(Overloaded{[&](SendMessage &send) {
-                                  link(node, send.to ? peerNames_.at(send.to.value - 1) : send.member, send.message);
-                              },
-                              [&](const StartExecution &begin) { start(node, begin, time_); },
-                              [&](const AttachListener &attach) {
-                                  const std::string to = peerNames_.at(attach.to.value - 1);
-                                  auto &traffic = process.traffic[attach.execution.value];
-                                  traffic.listeners.emplace_back(to, attach.id);
-                                  sendFrames(node, traffic, to, attach.id);
-                              },
-                              [&](const DetachListener &detach) {
-                                  std::erase_if(process.traffic[detach.execution.value].listeners, [&](const auto &l) {
-                                      return l.second.SerializeAsString() == detach.id.SerializeAsString();
-                                  });
-                              },
-                              [&](const CancelExecution &cancelled) { cancel(node, cancelled); },
-                              [&](const ReplayAnswer &again) { replay(node, again); },
-                              [&](const SendOrder &order) { sendOrder(node, order); },
-                              [&](const SubmitKv &kv) { submit(node, kv.request); },
-                              [&](const Drained &) { process.drained = true; }},
-                   action);
+        std::visit(
+            Overloaded{[&](SendMessage &send) {
+                           sendMessage(node, send.to ? peerNames_.at(send.to.value - 1) : send.member, send.message);
+                       },
+                       [&](const StartExecution &start) { startExecution(node, start, time_); },
+                       [&](const AttachListener &attach) {
+                           const std::string to = peerNames_.at(attach.to.value - 1);
+                           auto &openExecution = process.openExecutions[attach.execution.value];
+                           openExecution.listeners.emplace_back(to, attach.id);
+                           resendFrames(node, openExecution, to, attach.id);
+                       },
+                       [&](const DetachListener &detach) {
+                           std::erase_if(process.openExecutions[detach.execution.value].listeners, [&](const auto &l) {
+                               return l.second.SerializeAsString() == detach.id.SerializeAsString();
+                           });
+                       },
+                       [&](const CancelExecution &cancelled) { cancelExecution(node, cancelled); },
+                       [&](const ReplayAnswer &replayed) { replayAnswer(node, replayed); },
+                       [&](const SendOrder &order) { sendOrder(node, order); },
+                       [&](const SubmitKv &kv) { submitKv(node, kv.request); },
+                       [&](const Drained &) { process.isDrained = true; }},
+            action);
     }
 }
 
-void World::wake(Node &node)
+void Simulation::resume(Node &node)
 {
-    if (!node.paused) {
+    if (!node.isPaused) {
         return;
     }
-    node.paused = false;
-    node.wokeAt = time_;
-    for (const auto &action : std::exchange(node.backlog, {})) {
-        if (node.process != nullptr && !node.dying) {
+    node.isPaused = false;
+    node.resumedAt = time_;
+    for (const auto &action : std::exchange(node.pendingActions, {})) {
+        if (node.process != nullptr && !node.isTerminating) {
             action();
-            collect(node);
+            processActions(node);
         }
     }
 }
 
-/// The process ends at once. What it had sent is on its way; its endpoint goes on.
-void World::kill(Node &node)
+/// Terminates the process at once. Messages already sent still arrive, and its endpoint keeps running.
+void Simulation::kill(Node &node)
 {
-    if (node.process == nullptr || node.dying) {
+    if (node.process == nullptr || node.isTerminating) {
         return;
     }
-    node.dying = true;
-    at(Duration(0), [this, &node] {
-        buried_.push_back(std::move(node.process));
-        node.backlog.clear();
-        node.paused = false;
+    node.isTerminating = true;
+    schedule(Duration(0), [this, &node] {
+        terminated_.push_back(std::move(node.process));
+        node.pendingActions.clear();
+        node.isPaused = false;
         for (auto &call : calls_) {
-            for (auto &tried : call.tries) {
-                if (!tried.ended && tried.entry == node.name && tried.incarnation == node.incarnation) {
-                    endTry(tried, true); // the caller sees its connection break
+            for (auto &callerTry : call.tries) {
+                if (!callerTry.isEnded && callerTry.entry == node.name && callerTry.incarnation == node.incarnation) {
+                    endTry(callerTry, true); // the caller's connection breaks
                 }
             }
         }
     });
-    for (const auto &[name, other] : nodes_) { // connections break
+    for (const auto &[name, other] : nodes_) { // notifies peers of the broken connections
         Node &peer = *other;
         const std::string identity = node.name + "/" + std::to_string(node.incarnation);
         if (peer.process == nullptr || peer.kind == node.kind) {
@@ -362,17 +365,17 @@
         post(name, Milliseconds(5), [this, &peer, &node, identity] {
             if (peer.process->entry) {
                 peer.process->membership->onUnreachable(node.name, nowOf(peer));
-                peer.process->spread->onPeerLost(node.name);
+                peer.process->configDistributor->onPeerLost(node.name);
                 peer.process->entry->onConversationLost(node.name, nowOf(peer));
             } else if (peer.process->sidecar) {
-                peer.process->sidecar->onPeerLost(this->peer(identity), nowOf(peer));
+                peer.process->sidecar->onPeerLost(this->peerHandle(identity), nowOf(peer));
             }
         });
     }
-    at(restartAfter, [this, &node] { boot(node); });
+    schedule(restartDelay, [this, &node] { startProcess(node); });
 }
 
-void World::tellVmList()
+void Simulation::publishVmList()
 {
     std::vector<VmInfo> list;
     for (const auto &[name, other] : nodes_) {
@@ -392,7 +395,7 @@
         if (to.process == nullptr) {
             continue;
         }
-        post(name, Milliseconds(1), [this, &to, list] { takeVmList(to, list); });
+        post(name, Milliseconds(1), [this, &to, list] { applyVmList(to, list); });
         if (to.kind == NodeKind::EngineSidecar) {
             post(name, Milliseconds(2), [this, &to] {
                 EngineReport report;
@@ -401,11 +404,11 @@
             });
         }
     }
-    at(vmListEvery, [this] { tellVmList(); });
+    schedule(vmListInterval, [this] { publishVmList(); });
 }
 
-/// As the daemon does: an entry asks its membership, a sidecar goes by the list.
-void World::takeVmList(Node &to, const std::vector<VmInfo> &list)
+/// Applies the VM list as the daemon does: an entry through its membership, a sidecar directly.
+void Simulation::applyVmList(Node &to, const std::vector<VmInfo> &list)
 {
     if (to.process->membership) {
         to.process->membership->onVmList(list, nowOf(to));
@@ -425,11 +428,11 @@
     to.process->sidecar->onMembers(members, nowOf(to));
 }
 
-/// A Hello to every sidecar, so often; it also carries the configuration's revision.
-void World::sayHello(Node &entry)
+/// Sends a Hello with the configuration revision to every sidecar, and repeats periodically.
+void Simulation::sendHello(Node &entry)
 {
     for (const auto &[name, other] : nodes_) {
-        if (!other->sidecar()) {
+        if (!other->isSidecar()) {
             continue;
         }
         wire::Envelope message;
@@ -439,57 +442,59 @@
         hello.set_data_centre(std::to_string(entry.dataCentre));
         hello.set_config_revision(entry.process->store.revision());
         hello.set_config_digest(entry.process->store.digest());
-        hello.set_scheduler(entry.process->scheduling);
-        hello.set_scheduler_fence(entry.process->scheduling ? entry.process->lease->fence() : 0);
-        link(entry, name, std::move(message));
+        hello.set_scheduler(entry.process->isScheduler);
+        hello.set_scheduler_fence(entry.process->isScheduler ? entry.process->lease->fence() : 0);
+        sendMessage(entry, name, std::move(message));
     }
-    post(entry.name, shortTimes().heartbeat * 4, [this, &entry] { sayHello(entry); });
+    post(entry.name, shortTiming().heartbeat * 4, [this, &entry] { sendHello(entry); });
 }
 
-std::vector<std::string> World::play()
+std::vector<std::string> Simulation::run()
 {
     for (auto &[name, other] : nodes_) {
-        boot(*other);
+        startProcess(*other);
     }
-    tellVmList();
+    publishVmList();
     std::vector<config::Change> changes;
     for (const char *name : {"0", "1", "2", "3"}) {
-        changes.push_back(record(R"({"schemaVersion":1,"kind":"adapter","name":"a)" + std::string(name)
-                                 + R"(","baseModel":"base","versions":["v1","v2"],"weights":"w/{version}"})"));
-        changes.push_back(record(R"({"schemaVersion":2,"name":"r)" + std::string(name) + R"(","route":{"adapter":"a)"
-                                 + std::string(name) + R"(","version":"v1","deadlineMs":4000}})"));
-        versions_[1]["r" + std::string(name)] = "v1";
+        changes.push_back(
+            parseKnownRecord(R"({"schemaVersion":1,"kind":"adapter","name":"a)" + std::string(name)
+                             + R"(","baseModel":"base","versions":["v1","v2"],"weights":"w/{version}"})"));
+        changes.push_back(parseKnownRecord(R"({"schemaVersion":2,"name":"r)" + std::string(name)
+                                           + R"(","route":{"adapter":"a)" + std::string(name)
+                                           + R"(","version":"v1","deadlineMs":4000}})"));
+        versionsByRevision_[1]["r" + std::string(name)] = "v1";
     }
-    changes.push_back(record(R"({"schemaVersion":2,"name":"admission","service":{"slots":16,"windowS":60,)"
-                             R"("skewMs":250,"marginMs":600,"deadlineMs":3000}})"));
+    changes.push_back(parseKnownRecord(R"({"schemaVersion":2,"name":"admission","service":{"slots":16,"windowS":60,)"
+                                       R"("skewMs":250,"marginMs":600,"deadlineMs":3000}})"));
     Node &first = node("operator");
     first.process->changeId = "first";
     first.process->writer->apply(changes, "first", std::nullopt, nowOf(first));
-    runUntil(time_ + warmUp);
-    armed_ = true;
+    runUntil(time_ + warmUpTime);
+    isInjecting_ = true;
     startCalls();
     runUntil(time_ + faultTime);
-    armed_ = false;
-    heal();
-    runUntil(time_ + healTime);
+    isInjecting_ = false;
+    clearFaults();
+    runUntil(time_ + recoveryTime);
     for (int i = 0; i < 4; ++i) {
         const std::string probe = "probe" + std::to_string(i);
-        call(CallerCall{probe, "", "r" + std::to_string(i), false, false, {}}, i % 2 == 0 ? "e1" : "e2");
+        startCall(CallerCall{probe, "", "r" + std::to_string(i), false, false, {}}, i % 2 == 0 ? "e1" : "e2");
     }
 
     const std::string keyed = protocol_ == Protocol::NonIdempotentCall ? "full-table" : "probe-keyed";
-    call(CallerCall{keyed, makeKey(nowOf(node("e1")).wall, random_), "", false, false, {}}, "e1");
+    startCall(CallerCall{keyed, makeKey(nowOf(node("e1")).wall, random_), "", false, false, {}}, "e1");
     runUntil(time_ + probeTime);
-    checkEnd();
+    checkFinalState();
     return violations_;
 }
 
-std::size_t World::reached() const
+std::size_t Simulation::injectedCount() const
 {
-    return reached_;
+    return injectedCount_;
 }
 
-std::size_t World::runs() const
+std::size_t Simulation::runCount() const
 {
     return runs_.size();
 }
