--- a/tests/standins/caller.cpp
+++ b/tests/standins/caller.cpp
@@ -1,6 +1,5 @@
-// Callers for the demo: sends model calls, streams and service calls through all entries at once and judges them by
-// the records of the stand-ins behind the sidecars. Prints a table and a line
-// "RESULT answered lost doubled wrong" after one "calls begin"; details of each fault go to standard error.
+// Callers for the demo: sends model calls, streams and service calls through all entries and checks the answers against
+// the records of the stand-ins. Prints "calls begin", a table and a line "RESULT answered lost doubled wrong".
 #include "expected_answer.h"
 #include "http_host.h"
 #include "subcommands.h"
@@ -31,35 +30,35 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr std::size_t answerTokens = 12;
-constexpr std::chrono::seconds patience(60); // of a caller, over all its tries
-constexpr std::chrono::milliseconds longestRetry(1000);
+constexpr std::chrono::seconds callTimeout(60); // for one call, over all its tries
+constexpr std::chrono::milliseconds maxRetryDelay(1000);
 constexpr std::string_view deadlineMs = "30000";
 constexpr int statusOk = 200;
 
-enum class Kind : std::uint8_t {
+enum class CallKind : std::uint8_t {
     Plain,
     Stream,
-    KeyedService, ///< non-idempotent, with a repeat through another entry
+    KeyedService, ///< non-idempotent service, repeated through another entry
     Lookup, ///< idempotent service
     Count
 };
-constexpr std::array kindNames{"plain", "streamed", "service with key", "lookup"};
+constexpr std::array callKindNames{"plain", "streamed", "service with key", "lookup"};
 
 struct Call
 {
-    Kind kind = Kind::Plain;
+    CallKind kind = CallKind::Plain;
     std::string target; ///< route or service
-    std::string model; ///< adapter@version that must answer
-    std::string text; ///< prompt or body, unlike any other call's
+    std::string model; ///< expected adapter@version; empty for a service
+    std::string text; ///< prompt or body, unique among all calls
     std::string key;
     std::size_t entry = 0;
-    bool repeatAtOnce = false;
-    // outcome
-    bool answered = false;
-    bool wrong = false;
-    std::string fault;
+    bool isRepeatedAtOnce = false;
+    // Outcome of the call
+    bool isAnswered = false;
+    bool isWrong = false;
+    std::string failure;
     double milliseconds = 0.0;
-    std::size_t answers = 0; // with the repeat's
+    std::size_t answerCount = 0; // including the repeat's
 };
 
 struct Answer
@@ -74,7 +73,7 @@
 {
     const Poco::URI uri(base);
     Poco::Net::HTTPClientSession session(uri.getHost(), uri.getPort());
-    session.setTimeout(Poco::Timespan(patience.count(), 0));
+    session.setTimeout(Poco::Timespan(callTimeout.count(), 0));
     Poco::Net::HTTPRequest request(method, path, Poco::Net::HTTPMessage::HTTP_1_1);
     request.setContentType("application/json");
     request.setContentLength(static_cast<std::streamsize>(body.size()));
@@ -102,25 +101,26 @@
     }
 }
 
-/// The caller may send the call again only if it was told that it did not run.
-bool toldNotRun(const Answer &answer)
+/// The error states that the call did not run, so that the caller may send it again.
+bool isReportedNotRun(const Answer &answer)
 {
     const auto error = parseObject(answer.body)->getObject("error");
-    return !error.isNull() && option<std::string>(*error, "verdict", "") == "not_run";
+    return !error.isNull() && fieldOr<std::string>(*error, "verdict", "") == "not_run";
 }
 
-/// As a client does: again after "not run", and with a key also where the outcome is not known.
-Answer persist(const std::string &base, const std::string &path, const std::string &body, const std::string &key)
+/// Retries as a client does: after "not_run", and with an idempotency key after an unknown outcome as well.
+Answer callWithRetries(const std::string &base, const std::string &path, const std::string &body,
+                       const std::string &key)
 {
-    const auto until = Clock::now() + patience;
+    const auto deadline = Clock::now() + callTimeout;
     while (true) {
         Answer answer = exchange(base, "POST", path, body, key);
-        const bool unknown = answer.status == HTTPServerResponse::HTTP_SERVICE_UNAVAILABLE && !key.empty();
-        if (answer.status == statusOk || !(toldNotRun(answer) || unknown) || Clock::now() >= until) {
+        const bool isOutcomeUnknown = answer.status == HTTPServerResponse::HTTP_SERVICE_UNAVAILABLE && !key.empty();
+        if (answer.status == statusOk || !(isReportedNotRun(answer) || isOutcomeUnknown) || Clock::now() >= deadline) {
             return answer;
         }
         const auto wait = std::chrono::milliseconds(static_cast<int>(answer.retryAfter * 1000.0) + 20);
-        std::this_thread::sleep_for(std::min(wait, longestRetry));
+        std::this_thread::sleep_for(std::min(wait, maxRetryDelay));
     }
 }
 
@@ -129,9 +129,9 @@
     JsonObject body;
     body.set("model", call.target);
     body.set("max_tokens", answerTokens);
-    if (call.kind == Kind::Plain) {
+    if (call.kind == CallKind::Plain) {
         body.set("prompt", call.text);
-        return print(body);
+        return toJsonText(body);
     }
     JsonObject::Ptr message = new JsonObject;
     message->set("role", "user");
@@ -140,10 +140,10 @@
     messages->add(message);
     body.set("messages", messages);
     body.set("stream", true);
-    return print(body);
+    return toJsonText(body);
 }
 
-/// The text of a streamed answer; empty if it did not end with [DONE].
+/// Returns the text of a streamed answer, or an empty text if it does not end with [DONE].
 std::string streamedText(const std::string &body)
 {
     std::string text;
@@ -171,24 +171,24 @@
     return choices.isNull() || choices->size() == 0 ? "" : choices->getObject(0)->getValue<std::string>("text");
 }
 
-class Callers
+class CallRunner
 {
 public:
-    explicit Callers(const cxxopts::ParseResult &options)
+    explicit CallRunner(const cxxopts::ParseResult &options)
         : entries_(options["entry"].as<std::vector<std::string>>())
         , engines_(options["engine"].as<std::vector<std::string>>())
         , services_(options["service-endpoint"].as<std::vector<std::string>>())
         , keyedServices_(options["keyed-service"].as<std::vector<std::string>>())
         , tag_(options["tag"].as<std::string>())
     {
-        plan(options);
+        planCalls(options);
     }
 
     int run(std::size_t threads)
     {
         waitUntilReady();
         for (const auto &service : keyedServices_) {
-            waitUntilKeysAreTaken(service);
+            waitUntilKeysAreAccepted(service);
         }
         std::cout << "calls begin" << std::endl;
         std::atomic<std::size_t> next = 0;
@@ -196,19 +196,19 @@
         for (std::size_t i = 0; i < threads; ++i) {
             workers.emplace_back([this, &next] {
                 for (std::size_t at = next++; at < calls_.size(); at = next++) {
-                    perform(calls_[at]);
+                    performCall(calls_[at]);
                 }
             });
         }
         for (auto &worker : workers) {
             worker.join();
         }
-        readRecords();
+        collectRecords();
         return printResult();
     }
 
 private:
-    void plan(const cxxopts::ParseResult &options)
+    void planCalls(const cxxopts::ParseResult &options)
     {
         const auto count = options["calls"].as<std::size_t>();
         const auto routes = options["route"].as<std::vector<std::string>>();
@@ -217,17 +217,17 @@
             Call call;
             call.entry = i % entries_.size();
             call.text = tag_ + " call " + std::to_string(i) + " " + hexText(anvilscale::hash64(tag_, i));
-            call.kind = static_cast<Kind>((i / entries_.size()) % enumCountOfKind);
-            if (call.kind == Kind::Plain || call.kind == Kind::Stream) {
-                // Moved on by one after each round of kinds, so that every route meets every kind.
+            call.kind = static_cast<CallKind>((i / entries_.size()) % callKindCount);
+            if (call.kind == CallKind::Plain || call.kind == CallKind::Stream) {
+                // Shifted by one after each round of kinds, so that every route is called with every kind.
                 const auto &route =
-                    routes[(i / entries_.size() + i / (entries_.size() * enumCountOfKind)) % routes.size()];
+                    routes[(i / entries_.size() + i / (entries_.size() * callKindCount)) % routes.size()];
                 call.target = route.substr(0, route.find('='));
                 call.model = route.substr(route.find('=') + 1);
             } else {
-                const auto &names = call.kind == Kind::KeyedService ? keyedServices_ : lookups;
+                const auto &names = call.kind == CallKind::KeyedService ? keyedServices_ : lookups;
                 call.target = names[i % names.size()];
-                call.repeatAtOnce = (i / (entries_.size() * enumCountOfKind)) % 2 == 0;
+                call.isRepeatedAtOnce = (i / (entries_.size() * callKindCount)) % 2 == 0;
             }
             calls_.push_back(call);
         }
@@ -235,10 +235,10 @@
 
     void waitUntilReady()
     {
-        const auto until = Clock::now() + patience;
+        const auto deadline = Clock::now() + callTimeout;
         for (const auto &entry : entries_) {
-            while (!ready(entry)) {
-                if (Clock::now() >= until) {
+            while (!isReady(entry)) {
+                if (Clock::now() >= deadline) {
                     throw std::runtime_error(entry + " is not ready");
                 }
                 std::this_thread::sleep_for(std::chrono::milliseconds(50));
@@ -252,29 +252,29 @@
         return parseObject(answer.body)->getValue<std::string>("key");
     }
 
-    // A new owner of slots refuses keys stamped before its take-over and margin. The owners of a service take over one
-    // after the other, so the demo begins once that many fresh keys, on slots of all owners, are taken in a row.
-    void waitUntilKeysAreTaken(const std::string &service) const
+    // A new slot owner rejects keys stamped before its take-over plus margin, and the owners of a service take over one
+    // after another. Calls start after enough consecutive new keys, on the slots of all owners, were accepted.
+    void waitUntilKeysAreAccepted(const std::string &service) const
     {
-        constexpr std::size_t inARow = 32;
-        const auto until = Clock::now() + patience;
+        constexpr std::size_t requiredSuccesses = 32;
+        const auto deadline = Clock::now() + callTimeout;
         const std::string path = "/v1/services/" + service + "/warm-up";
-        for (std::size_t taken = 0; taken < inARow;) {
-            const std::string &entry = entries_[taken % entries_.size()];
+        for (std::size_t acceptedCount = 0; acceptedCount < requiredSuccesses;) {
+            const std::string &entry = entries_[acceptedCount % entries_.size()];
             const auto answer = exchange(entry, "POST", path, "warm-up", newKey(entry));
             if (answer.status == statusOk) {
-                ++taken;
+                ++acceptedCount;
                 continue;
             }
-            taken = 0;
-            if (Clock::now() >= until) {
-                throw std::runtime_error(service + " takes no keys: " + answer.body);
+            acceptedCount = 0;
+            if (Clock::now() >= deadline) {
+                throw std::runtime_error(service + " accepts no idempotency keys: " + answer.body);
             }
             std::this_thread::sleep_for(std::chrono::milliseconds(100));
         }
     }
 
-    static bool ready(const std::string &entry)
+    static bool isReady(const std::string &entry)
     {
         try {
             return exchange(entry, "GET", "/readyz", "", "").status == statusOk;
@@ -283,40 +283,40 @@
         }
     }
 
-    void perform(Call &call)
+    void performCall(Call &call)
     {
-        const auto began = Clock::now();
+        const auto startedAt = Clock::now();
         try {
             switch (call.kind) {
-            case Kind::Plain:
-            case Kind::Stream:
+            case CallKind::Plain:
+            case CallKind::Stream:
                 callModel(call);
                 break;
             default:
                 callService(call);
             }
         } catch (const Poco::Exception &error) {
-            call.fault = error.displayText();
+            call.failure = error.displayText();
         }
-        call.milliseconds = std::chrono::duration<double, std::milli>(Clock::now() - began).count();
+        call.milliseconds = std::chrono::duration<double, std::milli>(Clock::now() - startedAt).count();
     }
 
     void callModel(Call &call) const
     {
-        const bool stream = call.kind == Kind::Stream;
-        const auto answer =
-            persist(entries_[call.entry], stream ? "/v1/chat/completions" : "/v1/completions", modelBody(call), "");
-        const auto text = stream ? streamedText(answer.body) : plainText(answer.body);
-        call.answers = 1;
+        const bool isStream = call.kind == CallKind::Stream;
+        const auto answer = callWithRetries(entries_[call.entry], isStream ? "/v1/chat/completions" : "/v1/completions",
+                                            modelBody(call), "");
+        const auto text = isStream ? streamedText(answer.body) : plainText(answer.body);
+        call.answerCount = 1;
         if (answer.status != statusOk || text.empty()) {
-            call.fault = std::to_string(answer.status) + " " + answer.body;
+            call.failure = std::to_string(answer.status) + " " + answer.body;
         } else if (text == expectedAnswer(call.model, call.text, answerTokens)) {
-            call.answered = true;
+            call.isAnswered = true;
         } else if (text.rfind("[" + call.model + "]", 0) != 0) {
-            call.wrong = true;
-            call.fault = "answered by " + text.substr(0, text.find(']') + 1);
+            call.isWrong = true;
+            call.failure = "answered by " + text.substr(0, text.find(']') + 1);
         } else {
-            call.fault = "not whole, or another call's: " + text;
+            call.failure = "incomplete, or another call's answer: " + text;
         }
     }
 
@@ -325,31 +325,31 @@
         const std::string &entry = entries_[call.entry];
         const std::string &other = entries_[(call.entry + 1) % entries_.size()];
         const std::string path = "/v1/services/" + call.target + "/desk/" + std::to_string(call.entry);
-        if (call.kind == Kind::Lookup) {
-            checkService(call, persist(entry, path, call.text, ""));
-            call.answers = 1;
+        if (call.kind == CallKind::Lookup) {
+            checkService(call, callWithRetries(entry, path, call.text, ""));
+            call.answerCount = 1;
             return;
         }
         call.key =
             parseObject(exchange(entry, "POST", "/v1/idempotency-keys", "", "").body)->getValue<std::string>("key");
-        const auto send = [&](const std::string &base) { return persist(base, path, call.text, call.key); };
-        Answer second;
-        std::future<Answer> early;
-        if (call.repeatAtOnce) {
-            early = std::async(std::launch::async, send, other);
+        const auto send = [&](const std::string &base) { return callWithRetries(base, path, call.text, call.key); };
+        Answer repeat;
+        std::future<Answer> concurrentRepeat;
+        if (call.isRepeatedAtOnce) {
+            concurrentRepeat = std::async(std::launch::async, send, other);
         }
         const Answer first = send(entry);
-        second = call.repeatAtOnce ? early.get() : send(other);
-        call.answers = 2;
+        repeat = call.isRepeatedAtOnce ? concurrentRepeat.get() : send(other);
+        call.answerCount = 2;
         checkService(call, first);
-        if (!call.fault.empty()) {
+        if (!call.failure.empty()) {
             return;
         }
-        call.answered = false;
-        checkService(call, second);
-        if (call.answered && first.body != second.body) {
-            call.answered = false;
-            call.fault = "the repeat's answer differs: " + second.body;
+        call.isAnswered = false;
+        checkService(call, repeat);
+        if (call.isAnswered && first.body != repeat.body) {
+            call.isAnswered = false;
+            call.failure = "the repeat's answer differs: " + repeat.body;
         }
     }
 
@@ -358,21 +358,21 @@
         const auto object = parseObject(answer.body);
         const auto digest = std::to_string(anvilscale::hash64(call.text));
         if (answer.status != statusOk) {
-            call.fault = std::to_string(answer.status) + " " + answer.body;
-        } else if (option<std::string>(*object, "digest", "") != digest) {
-            call.wrong = true;
-            call.fault = "another call's answer: " + answer.body;
+            call.failure = std::to_string(answer.status) + " " + answer.body;
+        } else if (fieldOr<std::string>(*object, "digest", "") != digest) {
+            call.isWrong = true;
+            call.failure = "another call's answer: " + answer.body;
         } else {
-            call.answered = true;
+            call.isAnswered = true;
         }
     }
 
-    void readRecords()
+    void collectRecords()
     {
         for (const auto &engine : engines_) {
             const auto record = parseObject(exchange(engine, "GET", "/standin/record", "", "").body);
-            evictionsUnderCall_ += option<Poco::UInt64>(*record, "evictionsUnderCall", 0);
-            loads_ += option<Poco::UInt64>(*record, "loads", 0);
+            evictionsUnderCall_ += fieldOr<Poco::UInt64>(*record, "evictionsUnderCall", 0);
+            loads_ += fieldOr<Poco::UInt64>(*record, "loads", 0);
             const auto runs = record->getArray("runs");
             for (std::size_t i = 0; i < runs->size(); ++i) {
                 const auto run = runs->getObject(static_cast<unsigned>(i));
@@ -397,54 +397,54 @@
         std::vector<double> times;
     };
 
-    // What the caller saw and what the endpoints recorded must agree: an answer without a run behind it is lost too.
-    void judge(const Call &call, Totals &totals) const
+    // Compares the caller's answer with the endpoints' records. An answer without a recorded run counts as lost.
+    void addToTotals(const Call &call, Totals &totals) const
     {
         ++totals.calls;
         totals.times.push_back(call.milliseconds);
         std::size_t runs = 0;
-        bool wrongRun = call.wrong;
+        bool hasWrongRun = call.isWrong;
         if (call.model.empty()) {
             const auto found = runsByDigest_.find(std::to_string(anvilscale::hash64(call.text)));
             runs = found == runsByDigest_.end() ? 0 : found->second;
         } else if (const auto found = modelsByPrompt_.find(call.text); found != modelsByPrompt_.end()) {
             runs = found->second.size();
-            wrongRun = wrongRun
-                       || std::any_of(found->second.begin(), found->second.end(),
-                                      [&](const std::string &model) { return model != call.model; });
+            hasWrongRun = hasWrongRun
+                          || std::any_of(found->second.begin(), found->second.end(),
+                                         [&](const std::string &model) { return model != call.model; });
         }
         totals.doubled += runs > 1 ? runs - 1 : 0;
-        totals.wrong += wrongRun ? 1 : 0;
-        const bool answered = call.answered && runs > 0;
-        totals.answered += answered ? 1 : 0;
-        totals.lost += answered || wrongRun ? 0 : 1;
-        if (!answered || runs > 1 || wrongRun) {
-            std::cerr << kindNames.at(static_cast<std::size_t>(call.kind)) << " " << call.target << " \"" << call.text
-                      << "\": " << runs << " runs; " << call.fault << "\n";
+        totals.wrong += hasWrongRun ? 1 : 0;
+        const bool isAnswered = call.isAnswered && runs > 0;
+        totals.answered += isAnswered ? 1 : 0;
+        totals.lost += isAnswered || hasWrongRun ? 0 : 1;
+        if (!isAnswered || runs > 1 || hasWrongRun) {
+            std::cerr << callKindNames.at(static_cast<std::size_t>(call.kind)) << " " << call.target << " \""
+                      << call.text << "\": " << runs << " runs; " << call.failure << "\n";
         }
     }
 
-    static double quantile(std::vector<double> &times, double share)
+    static double quantile(std::vector<double> &times, double fraction)
     {
         if (times.empty()) {
             return 0.0;
         }
         std::sort(times.begin(), times.end());
-        return times[static_cast<std::size_t>(share * static_cast<double>(times.size() - 1))];
+        return times[static_cast<std::size_t>(fraction * static_cast<double>(times.size() - 1))];
     }
 
     int printResult()
     {
-        std::array<Totals, enumCountOfKind> kinds;
+        std::array<Totals, callKindCount> kinds;
         for (const auto &call : calls_) {
-            judge(call, kinds.at(static_cast<std::size_t>(call.kind)));
+            addToTotals(call, kinds.at(static_cast<std::size_t>(call.kind)));
         }
         Totals all;
         std::printf("%-18s %6s %9s %5s %8s %6s %9s %9s\n", tag_.c_str(), "calls", "answered", "lost", "doubled",
                     "wrong", "p50 ms", "p99 ms");
         for (std::size_t i = 0; i < kinds.size(); ++i) {
             Totals &kind = kinds.at(i);
-            std::printf("%-18s %6zu %9zu %5zu %8zu %6zu %9.1f %9.1f\n", kindNames.at(i), kind.calls, kind.answered,
+            std::printf("%-18s %6zu %9zu %5zu %8zu %6zu %9.1f %9.1f\n", callKindNames.at(i), kind.calls, kind.answered,
                         kind.lost, kind.doubled, kind.wrong, quantile(kind.times, 0.5), quantile(kind.times, 0.99));
             all.answered += kind.answered;
             all.lost += kind.lost;
@@ -457,7 +457,7 @@
         return all.lost + all.doubled + all.wrong + evictionsUnderCall_ == 0 ? 0 : 1;
     }
 
-    static constexpr std::size_t enumCountOfKind = static_cast<std::size_t>(Kind::Count);
+    static constexpr std::size_t callKindCount = static_cast<std::size_t>(CallKind::Count);
 
     const std::vector<std::string> entries_;
     const std::vector<std::string> engines_;
@@ -479,14 +479,14 @@
         "service-endpoint", "URL of a service stand-in", list())("route", "ROUTE=ADAPTER@VERSION", list())(
         "keyed-service", "non-idempotent service", list())("lookup-service", "idempotent service", list())(
         "tag", "name of the deployment", cxxopts::value<std::string>()->default_value("demo"))(
-        "calls", "how many", cxxopts::value<std::size_t>()->default_value("200"))(
-        "threads", "callers at once", cxxopts::value<std::size_t>()->default_value("16"));
+        "calls", "number of calls", cxxopts::value<std::size_t>()->default_value("200"))(
+        "threads", "concurrent callers", cxxopts::value<std::size_t>()->default_value("16"));
 }
 
 int runCaller(const cxxopts::ParseResult &options)
 {
-    Callers callers(options);
-    return callers.run(options["threads"].as<std::size_t>());
+    CallRunner runner(options);
+    return runner.run(options["threads"].as<std::size_t>());
 }
 
 } // namespace standins
--- a/tests/standins/engine.cpp
+++ b/tests/standins/engine.cpp
@@ -1,6 +1,6 @@
-// The model engine stand-in: the published HTTP form of vLLM's OpenAI-compatible server over EngineCore.
-// POST /standin/restart {"downMs"} restarts it cold; POST /standin sets {"failNextLoads", "failAdapter",
-// "loseOrderReplies" (the order takes effect, its answer does not come)}; GET /standin/record prints every request.
+// The model engine stand-in: HTTP interface of vLLM's OpenAI-compatible server over EngineCore.
+// Control: POST /standin/restart {"downMs"} restarts it without adapters and cache, POST /standin sets
+// {"failNextLoads", "failAdapter", "loseOrderReplies"}, GET /standin/record lists all requests.
 #include "engine_core.h"
 #include "expected_answer.h"
 #include "http_host.h"
@@ -24,13 +24,13 @@
 namespace {
 using Poco::JSON::Array;
 
-constexpr std::chrono::milliseconds goneCheck(20);
-constexpr std::size_t defaultTokens = 16;
-constexpr std::size_t tokenLimit = 65536;
+constexpr std::chrono::milliseconds disconnectPollInterval(20);
+constexpr std::size_t defaultMaxTokens = 16;
+constexpr std::size_t maxTokensLimit = 65536;
 constexpr int preconditionFailed = 412;
 constexpr int internalError = 500;
-constexpr std::size_t promptInRecord = 256;
-constexpr std::array runEndNames{"running", "finished", "cancelled", "cut"};
+constexpr std::size_t maxRecordedPromptBytes = 256;
+constexpr std::array runStateNames{"running", "finished", "cancelled", "cut"};
 
 std::string join(const std::vector<std::string> &names)
 {
@@ -66,21 +66,21 @@
     {
         const std::string path = request.getURI();
         if (path.rfind("/standin", 0) == 0) {
-            control(path, *readJson(request), response);
-        } else if (!core_.up()) {
-            cut(request);
+            handleControl(path, *readJson(request), response);
+        } else if (!core_.isUp()) {
+            closeConnection(request);
         } else if (path == "/v1/completions" || path == "/v1/chat/completions") {
             generate(request, response, path == "/v1/chat/completions");
         } else if (path == "/v1/load_lora_adapter" || path == "/v1/unload_lora_adapter") {
-            order(request, response, path == "/v1/load_lora_adapter");
+            handleOrder(request, response, path == "/v1/load_lora_adapter");
         } else if (path == "/v1/models") {
-            models(response);
+            sendModels(response);
         } else if (path == "/metrics") {
-            metrics(response);
+            sendMetrics(response);
         } else if (path == "/health") {
             sendText(response, HTTPServerResponse::HTTP_OK, "text/plain", "");
         } else {
-            error(response, HTTPServerResponse::HTTP_NOT_FOUND, "NotFoundError", "no such path");
+            sendError(response, HTTPServerResponse::HTTP_NOT_FOUND, "NotFoundError", "no such path");
         }
     }
 
@@ -98,7 +98,7 @@
         return core;
     }
 
-    static void error(HTTPServerResponse &response, int status, const std::string &type, const std::string &message)
+    static void sendError(HTTPServerResponse &response, int status, const std::string &type, const std::string &message)
     {
         JsonObject::Ptr inner = new JsonObject;
         inner->set("message", message);
@@ -109,7 +109,7 @@
         sendJson(response, status, object);
     }
 
-    void fencedOff(HTTPServerResponse &response)
+    void sendFencedOff(HTTPServerResponse &response)
     {
         JsonObject::Ptr inner = new JsonObject;
         inner->set("type", "fenced_off");
@@ -119,7 +119,7 @@
         sendJson(response, preconditionFailed, object);
     }
 
-    // ---- orders
+    // Adapter orders
 
     bool fetchWeights(const std::string &name)
     {
@@ -143,7 +143,7 @@
             Poco::Net::HTTPRequest request("POST", "/load", Poco::Net::HTTPMessage::HTTP_1_1);
             JsonObject body;
             body.set("name", name);
-            const std::string text = print(body);
+            const std::string text = toJsonText(body);
             request.setContentLength(static_cast<std::streamsize>(text.size()));
             session.sendRequest(request) << text;
             Poco::Net::HTTPResponse answer;
@@ -154,17 +154,17 @@
         }
     }
 
-    OrderResult perform(const std::string &name, std::uint64_t fence, bool load)
+    OrderResult performOrder(const std::string &name, std::uint64_t fence, bool isLoad)
     {
-        if (!load) {
+        if (!isLoad) {
             return core_.unload(name, fence);
         }
         const auto restarts = core_.restarts();
-        const auto begun = core_.beginLoad(name, fence);
-        return begun == OrderResult::Done ? core_.finishLoad(name, restarts, fetchWeights(name)) : begun;
+        const auto loadResult = core_.beginLoad(name, fence);
+        return loadResult == OrderResult::Done ? core_.finishLoad(name, restarts, fetchWeights(name)) : loadResult;
     }
 
-    bool loseReply()
+    bool shouldLoseReply()
     {
         const std::scoped_lock lock(mutex_);
         if (loseOrderReplies_ == 0) {
@@ -174,141 +174,141 @@
         return true;
     }
 
-    void order(HTTPServerRequest &request, HTTPServerResponse &response, bool load)
+    void handleOrder(HTTPServerRequest &request, HTTPServerResponse &response, bool isLoad)
     {
         const auto body = readJson(request);
-        const auto name = option<std::string>(*body, "lora_name", "");
+        const auto name = fieldOr<std::string>(*body, "lora_name", "");
         if (name.empty()) {
-            error(response, HTTPServerResponse::HTTP_BAD_REQUEST, "InvalidUserInput", "lora_name is missing");
+            sendError(response, HTTPServerResponse::HTTP_BAD_REQUEST, "InvalidUserInput", "lora_name is missing");
             return;
         }
         const auto fence = std::stoull(request.get("X-Fencing-Token", "0"));
-        const auto result = perform(name, fence, load);
-        if (loseReply() || result == OrderResult::Down) {
-            cut(request);
+        const auto result = performOrder(name, fence, isLoad);
+        if (shouldLoseReply() || result == OrderResult::Down) {
+            closeConnection(request);
             return;
         }
         switch (result) {
         case OrderResult::Done:
             sendText(response, HTTPServerResponse::HTTP_OK, "text/plain",
-                     "Success: LoRA adapter '" + name + (load ? "' added successfully." : "' removed successfully."));
+                     "Success: LoRA adapter '" + name + (isLoad ? "' added successfully." : "' removed successfully."));
             return;
         case OrderResult::Fenced:
-            fencedOff(response);
+            sendFencedOff(response);
             return;
         case OrderResult::AlreadyLoaded:
-            error(response, HTTPServerResponse::HTTP_BAD_REQUEST, "InvalidUserInput",
-                  "The lora adapter '" + name + "' has already been loaded.");
+            sendError(response, HTTPServerResponse::HTTP_BAD_REQUEST, "InvalidUserInput",
+                      "The lora adapter '" + name + "' has already been loaded.");
             return;
         case OrderResult::NotLoaded:
-            error(response, HTTPServerResponse::HTTP_NOT_FOUND, "NotFoundError",
-                  "The lora adapter '" + name + "' cannot be found.");
+            sendError(response, HTTPServerResponse::HTTP_NOT_FOUND, "NotFoundError",
+                      "The lora adapter '" + name + "' cannot be found.");
             return;
         case OrderResult::NoSlot:
-            error(response, HTTPServerResponse::HTTP_BAD_REQUEST, "InvalidUserInput", "no free adapter slot");
+            sendError(response, HTTPServerResponse::HTTP_BAD_REQUEST, "InvalidUserInput", "no free adapter slot");
             return;
         default:
-            error(response, internalError, "InternalServerError", "loading '" + name + "' failed");
+            sendError(response, internalError, "InternalServerError", "loading '" + name + "' failed");
         }
     }
 
-    // ---- calls
+    // Calls
 
-    void generate(HTTPServerRequest &request, HTTPServerResponse &response, bool chat)
+    void generate(HTTPServerRequest &request, HTTPServerResponse &response, bool isChat)
     {
         const auto body = readJson(request);
-        Sequence wanted;
-        wanted.model = option<std::string>(*body, "model", "");
-        wanted.prompt = chat ? chatPrompt(*body) : option<std::string>(*body, "prompt", "");
-        wanted.tokens = std::min(option<Poco::UInt64>(*body, "max_tokens", defaultTokens), tokenLimit);
-        wanted.priority = option<Poco::Int64>(*body, "priority", 0);
-        wanted.key = request.get("Idempotency-Key", "");
-        const std::string model = wanted.model;
-        const auto sequence = core_.submit(std::move(wanted));
+        Sequence requested;
+        requested.model = fieldOr<std::string>(*body, "model", "");
+        requested.prompt = isChat ? chatPrompt(*body) : fieldOr<std::string>(*body, "prompt", "");
+        requested.maxTokens = std::min(fieldOr<Poco::UInt64>(*body, "max_tokens", defaultMaxTokens), maxTokensLimit);
+        requested.priority = fieldOr<Poco::Int64>(*body, "priority", 0);
+        requested.key = request.get("Idempotency-Key", "");
+        const std::string model = requested.model;
+        const auto sequence = core_.submit(std::move(requested));
         if (sequence == nullptr) {
-            error(response, HTTPServerResponse::HTTP_NOT_FOUND, "NotFoundError",
-                  "The model `" + model + "` does not exist.");
-        } else if (option<bool>(*body, "stream", false)) {
-            stream(request, response, sequence, chat);
+            sendError(response, HTTPServerResponse::HTTP_NOT_FOUND, "NotFoundError",
+                      "The model `" + model + "` does not exist.");
+        } else if (fieldOr<bool>(*body, "stream", false)) {
+            sendStream(request, response, sequence, isChat);
         } else {
-            whole(request, response, sequence, chat);
+            sendWhole(request, response, sequence, isChat);
         }
     }
 
-    static JsonObject::Ptr head(const Sequence &sequence, bool chat, bool chunk)
+    static JsonObject::Ptr answerHead(const Sequence &sequence, bool isChat, bool isChunk)
     {
         JsonObject::Ptr object = new JsonObject;
-        object->set("id", (chat ? "chatcmpl-" : "cmpl-") + std::to_string(sequence.id));
-        const char *whole = chat ? "chat.completion" : "text_completion";
-        object->set("object", chat && chunk ? "chat.completion.chunk" : whole);
+        object->set("id", (isChat ? "chatcmpl-" : "cmpl-") + std::to_string(sequence.id));
+        const char *objectName = isChat ? "chat.completion" : "text_completion";
+        object->set("object", isChat && isChunk ? "chat.completion.chunk" : objectName);
         object->set("created", static_cast<Poco::Int64>(std::time(nullptr)));
         object->set("model", sequence.model);
         return object;
     }
 
-    static void choice(JsonObject &object, const std::string &text, bool chat, bool chunk, bool last)
+    static void addChoice(JsonObject &object, const std::string &text, bool isChat, bool isChunk, bool isLast)
     {
         JsonObject::Ptr item = new JsonObject;
         item->set("index", 0);
-        if (chat) {
+        if (isChat) {
             JsonObject::Ptr message = new JsonObject;
             message->set("role", "assistant");
             message->set("content", text);
-            item->set(chunk ? "delta" : "message", message);
+            item->set(isChunk ? "delta" : "message", message);
         } else {
             item->set("text", text);
         }
-        item->set("finish_reason", last ? Poco::Dynamic::Var("length") : Poco::Dynamic::Var());
+        item->set("finish_reason", isLast ? Poco::Dynamic::Var("length") : Poco::Dynamic::Var());
         Array::Ptr choices = new Array;
         choices->add(item);
         object.set("choices", choices);
     }
 
-    void whole(HTTPServerRequest &request, HTTPServerResponse &response, const SequencePtr &sequence, bool chat)
+    void sendWhole(HTTPServerRequest &request, HTTPServerResponse &response, const SequencePtr &sequence, bool isChat)
     {
-        RunEnd end = RunEnd::Running;
-        while (end == RunEnd::Running) {
-            core_.waitTokens(sequence, sequence->tokens, goneCheck, end);
-            if (end == RunEnd::Running && clientGone(request)) {
+        RunState end = RunState::Running;
+        while (end == RunState::Running) {
+            core_.waitForTokens(sequence, sequence->maxTokens, disconnectPollInterval, end);
+            if (end == RunState::Running && isClientDisconnected(request)) {
                 core_.cancel(sequence);
                 return;
             }
         }
-        if (end != RunEnd::Finished) {
-            cut(request);
+        if (end != RunState::Finished) {
+            closeConnection(request);
             return;
         }
-        auto object = head(*sequence, chat, false);
-        choice(*object, expectedAnswer(sequence->model, sequence->prompt, sequence->tokens), chat, false, true);
+        auto object = answerHead(*sequence, isChat, false);
+        addChoice(*object, expectedAnswer(sequence->model, sequence->prompt, sequence->maxTokens), isChat, false, true);
         JsonObject::Ptr usage = new JsonObject;
         usage->set("prompt_tokens", sequence->promptTokens);
-        usage->set("completion_tokens", sequence->tokens);
-        usage->set("total_tokens", sequence->promptTokens + sequence->tokens);
+        usage->set("completion_tokens", sequence->maxTokens);
+        usage->set("total_tokens", sequence->promptTokens + sequence->maxTokens);
         object->set("usage", usage);
         sendJson(response, HTTPServerResponse::HTTP_OK, *object);
     }
 
-    void stream(HTTPServerRequest &request, HTTPServerResponse &response, const SequencePtr &sequence, bool chat)
+    void sendStream(HTTPServerRequest &request, HTTPServerResponse &response, const SequencePtr &sequence, bool isChat)
     {
         response.setChunkedTransferEncoding(true);
         response.setContentType("text/event-stream");
         std::ostream &out = response.send();
         std::size_t sent = 0;
-        RunEnd end = RunEnd::Running;
-        while (sent < sequence->tokens) {
-            const auto produced = core_.waitTokens(sequence, sent, goneCheck, end);
-            if (end == RunEnd::Cut) {
-                cut(request);
+        RunState end = RunState::Running;
+        while (sent < sequence->maxTokens) {
+            const auto produced = core_.waitForTokens(sequence, sent, disconnectPollInterval, end);
+            if (end == RunState::Cut) {
+                closeConnection(request);
                 return;
             }
             for (; sent < produced; ++sent) {
-                auto object = head(*sequence, chat, true);
-                choice(*object, answerToken(sequence->model, sequence->prompt, sent, sequence->tokens), chat, true,
-                       sent + 1 == sequence->tokens);
-                out << "data: " + print(*object) + "\n\n";
+                auto object = answerHead(*sequence, isChat, true);
+                addChoice(*object, answerToken(sequence->model, sequence->prompt, sent, sequence->maxTokens), isChat,
+                          true, sent + 1 == sequence->maxTokens);
+                out << "data: " + toJsonText(*object) + "\n\n";
             }
             out.flush();
-            if (!out.good() || clientGone(request)) {
+            if (!out.good() || isClientDisconnected(request)) {
                 core_.cancel(sequence);
                 return;
             }
@@ -316,9 +316,9 @@
         out << "data: [DONE]\n\n" << std::flush;
     }
 
-    // ---- what it says of itself
+    // Models, metrics and control
 
-    void models(HTTPServerResponse &response)
+    void sendModels(HTTPServerResponse &response)
     {
         Array::Ptr data = new Array;
         const auto add = [&data](const std::string &id, const std::string &parent) {
@@ -339,7 +339,7 @@
         sendJson(response, HTTPServerResponse::HTTP_OK, object);
     }
 
-    void metrics(HTTPServerResponse &response)
+    void sendMetrics(HTTPServerResponse &response)
     {
         const auto stats = core_.stats();
         const std::string label = "{model_name=\"" + core_.options().baseModel + "\"} ";
@@ -354,24 +354,24 @@
         sendText(response, HTTPServerResponse::HTTP_OK, "text/plain; version=0.0.4", out.str());
     }
 
-    void control(const std::string &path, const JsonObject &body, HTTPServerResponse &response)
+    void handleControl(const std::string &path, const JsonObject &body, HTTPServerResponse &response)
     {
         if (path == "/standin/restart") {
-            core_.restart(std::chrono::milliseconds(option<Poco::Int64>(body, "downMs", 0)));
+            core_.restart(std::chrono::milliseconds(fieldOr<Poco::Int64>(body, "downMs", 0)));
         } else if (path == "/standin") {
             const std::scoped_lock lock(mutex_);
-            failNextLoads_ = option<Poco::UInt64>(body, "failNextLoads", failNextLoads_);
-            failAdapter_ = option<std::string>(body, "failAdapter", failAdapter_);
-            loseOrderReplies_ = option<Poco::UInt64>(body, "loseOrderReplies", loseOrderReplies_);
+            failNextLoads_ = fieldOr<Poco::UInt64>(body, "failNextLoads", failNextLoads_);
+            failAdapter_ = fieldOr<std::string>(body, "failAdapter", failAdapter_);
+            loseOrderReplies_ = fieldOr<Poco::UInt64>(body, "loseOrderReplies", loseOrderReplies_);
         }
-        JsonObject object = printStats(core_.stats());
+        JsonObject object = statsToJson(core_.stats());
         if (path == "/standin/record") {
-            object.set("runs", printRuns());
+            object.set("runs", runsToJson());
         }
         sendJson(response, HTTPServerResponse::HTTP_OK, object);
     }
 
-    static JsonObject printStats(const EngineStats &stats)
+    static JsonObject statsToJson(const EngineStats &stats)
     {
         JsonObject object;
         object.set("loads", stats.loads);
@@ -394,18 +394,18 @@
         return object;
     }
 
-    Array::Ptr printRuns() const
+    Array::Ptr runsToJson() const
     {
         Array::Ptr runs = new Array;
-        for (const auto &sequence : core_.record()) {
+        for (const auto &sequence : core_.records()) {
             JsonObject::Ptr item = new JsonObject;
             item->set("id", sequence->id);
             item->set("model", sequence->model);
             item->set("key", sequence->key);
-            item->set("prompt", sequence->prompt.substr(0, promptInRecord));
-            item->set("tokens", sequence->tokens);
-            item->set("end", runEndNames.at(static_cast<std::size_t>(sequence->end)));
-            item->set("evicted", sequence->evicted);
+            item->set("prompt", sequence->prompt.substr(0, maxRecordedPromptBytes));
+            item->set("tokens", sequence->maxTokens);
+            item->set("end", runStateNames.at(static_cast<std::size_t>(sequence->state)));
+            item->set("evicted", sequence->wasEvicted);
             runs->add(item);
         }
         return runs;
@@ -416,24 +416,29 @@
     const std::chrono::milliseconds loadTime_;
     std::mutex mutex_; // guards all below
     std::uint64_t failNextLoads_ = 0;
-    std::string failAdapter_; // loads of names that begin so fail
+    std::string failAdapter_; // loads of adapters with this name prefix fail; none if empty
     std::uint64_t loseOrderReplies_ = 0;
 };
 } // namespace
 
 void engineOptions(cxxopts::Options &options)
 {
-    options.add_options()("base-model", "name", cxxopts::value<std::string>()->default_value("base"))(
-        "slots", "adapters loaded at once", cxxopts::value<std::size_t>()->default_value("4"))(
-        "batch-limit", "sequences in a step", cxxopts::value<std::size_t>()->default_value("8"))(
-        "cache-blocks", "blocks of 16 prompt tokens kept", cxxopts::value<std::size_t>()->default_value("1024"))(
-        "step-us", "time of a step", cxxopts::value<double>()->default_value("0"))(
-        "sequence-us", "more for each sequence", cxxopts::value<double>()->default_value("0"))(
-        "adapter-us", "more for each distinct adapter", cxxopts::value<double>()->default_value("0"))(
-        "prompt-token-us", "more for each prompt token not cached", cxxopts::value<double>()->default_value("0"))(
-        "weight-store", "URL, empty: none is asked", cxxopts::value<std::string>()->default_value(""))(
-        "load-ms", "time of a load besides the weight store", cxxopts::value<unsigned>()->default_value("0"))(
-        "fencing", "check or ignore", cxxopts::value<std::string>()->default_value("check"));
+    options.add_options()("base-model", "name of the base model", cxxopts::value<std::string>()->default_value("base"))(
+        "slots", "number of adapter slots", cxxopts::value<std::size_t>()->default_value("4"))(
+        "batch-limit", "maximum number of sequences in a step", cxxopts::value<std::size_t>()->default_value("8"))(
+        "cache-blocks", "capacity of the prefix cache, in blocks of 16 prompt tokens",
+        cxxopts::value<std::size_t>()->default_value("1024"))("step-us", "base time of a step, in microseconds",
+                                                              cxxopts::value<double>()->default_value("0"))(
+        "sequence-us", "additional time for each sequence, in microseconds",
+        cxxopts::value<double>()->default_value("0"))("adapter-us",
+                                                      "additional time for each distinct adapter, in microseconds",
+                                                      cxxopts::value<double>()->default_value("0"))(
+        "prompt-token-us", "additional time for each uncached prompt token, in microseconds",
+        cxxopts::value<double>()->default_value("0"))("weight-store", "URL of the weight store, empty for none",
+                                                      cxxopts::value<std::string>()->default_value(""))(
+        "load-ms", "time of a load without the weight store, in milliseconds",
+        cxxopts::value<unsigned>()->default_value("0"))("fencing", "check or ignore fencing numbers",
+                                                        cxxopts::value<std::string>()->default_value("check"));
 }
 
 int runEngine(const cxxopts::ParseResult &options)
--- a/tests/standins/engine_core.cpp
+++ b/tests/standins/engine_core.cpp
@@ -1,4 +1,4 @@
-// Continuous batching, slots and prefix cache of the engine stand-in.
+// Adapter slots, continuous batching and prefix cache of the engine stand-in.
 #include "engine_core.h"
 
 #include "expected_answer.h"
@@ -16,7 +16,7 @@
     return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-std::vector<std::string> adaptersOf(const std::vector<SequencePtr> &sequences)
+std::vector<std::string> distinctAdapters(const std::vector<SequencePtr> &sequences)
 {
     std::set<std::string> names;
     for (const auto &sequence : sequences) {
@@ -37,8 +37,8 @@
 {
     {
         const std::scoped_lock lock(mutex_);
-        stopped_ = true;
-        work_.notify_all();
+        isStopped_ = true;
+        workAvailable_.notify_all();
     }
     thread_.join();
 }
@@ -46,43 +46,43 @@
 SequencePtr EngineCore::submit(Sequence &&request)
 {
     const std::scoped_lock lock(mutex_);
-    const bool known = request.model == options_.baseModel || loaded_.contains(request.model);
-    if (!known || std::chrono::steady_clock::now() < upAt_) {
+    const bool isKnown = request.model == options_.baseModel || loaded_.contains(request.model);
+    if (!isKnown || std::chrono::steady_clock::now() < availableAt_) {
         ++stats_.unknownModel;
         return nullptr;
     }
     auto sequence = std::make_shared<Sequence>();
-    sequence->id = record_.size() + 1;
+    sequence->id = records_.size() + 1;
     sequence->model = std::move(request.model);
     sequence->prompt = std::move(request.prompt);
     sequence->key = std::move(request.key);
     sequence->priority = request.priority;
-    sequence->tokens = std::max<std::size_t>(request.tokens, 1);
+    sequence->maxTokens = std::max<std::size_t>(request.maxTokens, 1);
     sequence->promptTokens = sequence->prompt.size() / charactersPerToken + 1;
-    record_.push_back(sequence);
-    const auto place = std::upper_bound(waiting_.begin(), waiting_.end(), sequence,
-                                        [](const auto &a, const auto &b) { return a->priority < b->priority; });
-    waiting_.insert(place, sequence);
-    work_.notify_all();
+    records_.push_back(sequence);
+    const auto position = std::upper_bound(waiting_.begin(), waiting_.end(), sequence,
+                                           [](const auto &a, const auto &b) { return a->priority < b->priority; });
+    waiting_.insert(position, sequence);
+    workAvailable_.notify_all();
     return sequence;
 }
 
-std::size_t EngineCore::waitTokens(const SequencePtr &sequence, std::size_t have, std::chrono::milliseconds wait,
-                                   RunEnd &end)
+std::size_t EngineCore::waitForTokens(const SequencePtr &sequence, std::size_t knownTokens,
+                                      std::chrono::milliseconds wait, RunState &end)
 {
     std::unique_lock lock(mutex_);
-    sequence->changed.wait_for(lock, wait,
-                               [&] { return sequence->produced > have || sequence->end != RunEnd::Running; });
-    end = sequence->end;
+    sequence->changed.wait_for(
+        lock, wait, [&] { return sequence->produced > knownTokens || sequence->state != RunState::Running; });
+    end = sequence->state;
     return sequence->produced;
 }
 
-void EngineCore::finish(const SequencePtr &sequence, RunEnd end)
+void EngineCore::finish(const SequencePtr &sequence, RunState end)
 {
-    if (sequence->end != RunEnd::Running) {
+    if (sequence->state != RunState::Running) {
         return;
     }
-    sequence->end = end;
+    sequence->state = end;
     std::erase(waiting_, sequence);
     std::erase(running_, sequence);
     sequence->changed.notify_all();
@@ -91,10 +91,10 @@
 void EngineCore::cancel(const SequencePtr &sequence)
 {
     const std::scoped_lock lock(mutex_);
-    finish(sequence, RunEnd::Cancelled);
+    finish(sequence, RunState::Cancelled);
 }
 
-bool EngineCore::fenced(std::uint64_t fence)
+bool EngineCore::isFencedOff(std::uint64_t fence)
 {
     if (options_.checksFencing && fence < stats_.highestFence) {
         ++stats_.fenced;
@@ -107,10 +107,10 @@
 OrderResult EngineCore::beginLoad(const std::string &name, std::uint64_t fence)
 {
     const std::scoped_lock lock(mutex_);
-    if (std::chrono::steady_clock::now() < upAt_) {
+    if (std::chrono::steady_clock::now() < availableAt_) {
         return OrderResult::Down;
     }
-    if (fenced(fence)) {
+    if (isFencedOff(fence)) {
         return OrderResult::Fenced;
     }
     if (loaded_.contains(name) || loading_.contains(name)) {
@@ -127,7 +127,7 @@
 {
     const std::scoped_lock lock(mutex_);
     if (restarts != restarts_) {
-        return OrderResult::Down; // the engine that had taken the order is gone
+        return OrderResult::Down; // the engine restarted after it accepted the order
     }
     loading_.erase(name);
     if (!fetched) {
@@ -142,10 +142,10 @@
 OrderResult EngineCore::unload(const std::string &name, std::uint64_t fence)
 {
     const std::scoped_lock lock(mutex_);
-    if (std::chrono::steady_clock::now() < upAt_) {
+    if (std::chrono::steady_clock::now() < availableAt_) {
         return OrderResult::Down;
     }
-    if (fenced(fence)) {
+    if (isFencedOff(fence)) {
         return OrderResult::Fenced;
     }
     if (loaded_.erase(name) == 0) {
@@ -155,7 +155,7 @@
     for (const auto *sequences : {&running_, &waiting_}) {
         for (const auto &sequence : *sequences) {
             if (sequence->model == name) {
-                sequence->evicted = true;
+                sequence->wasEvicted = true;
                 ++stats_.evictionsUnderCall;
             }
         }
@@ -167,25 +167,25 @@
 {
     const std::scoped_lock lock(mutex_);
     ++restarts_;
-    upAt_ = std::chrono::steady_clock::now() + down;
+    availableAt_ = std::chrono::steady_clock::now() + down;
     loaded_.clear();
     loading_.clear();
     cache_.clear();
     cacheOrder_.clear();
     while (!running_.empty()) {
-        finish(running_.back(), RunEnd::Cut);
+        finish(running_.back(), RunState::Cut);
     }
     while (!waiting_.empty()) {
-        finish(waiting_.back(), RunEnd::Cut);
+        finish(waiting_.back(), RunState::Cut);
     }
-    constexpr double leastStep = 0.001; // two starts never show the same time
-    stats_.startTime = std::max(wallSeconds(), stats_.startTime + leastStep);
+    constexpr double minStartTimeStep = 0.001; // seconds; keeps the start times of two incarnations distinct
+    stats_.startTime = std::max(wallSeconds(), stats_.startTime + minStartTimeStep);
 }
 
-bool EngineCore::up() const
+bool EngineCore::isUp() const
 {
     const std::scoped_lock lock(mutex_);
-    return std::chrono::steady_clock::now() >= upAt_;
+    return std::chrono::steady_clock::now() >= availableAt_;
 }
 
 std::uint64_t EngineCore::restarts() const
@@ -201,31 +201,32 @@
     stats.running = running_.size();
     stats.waiting = waiting_.size();
     stats.loaded = {loaded_.begin(), loaded_.end()};
-    stats.runningAdapters = adaptersOf(running_);
-    stats.waitingAdapters = adaptersOf(waiting_);
+    stats.runningAdapters = distinctAdapters(running_);
+    stats.waitingAdapters = distinctAdapters(waiting_);
     return stats;
 }
 
-std::vector<SequencePtr> EngineCore::record() const
+std::vector<SequencePtr> EngineCore::records() const
 {
     const std::scoped_lock lock(mutex_);
-    return record_;
+    return records_;
 }
 
-// Prompt tokens found in the cache: whole blocks from the start, hashed in a chain over the adapter's name.
+// Returns the number of prompt tokens found in the cache and adds the others. Only whole blocks are cached; the hash of
+// a block covers the adapter's name and all blocks before it.
 std::size_t EngineCore::lookUpPrefix(const Sequence &sequence)
 {
     std::size_t found = 0;
-    bool chain = true;
+    bool isPrefixCached = true;
     std::uint64_t hash = anvilscale::hash64(sequence.model);
     constexpr std::size_t blockBytes = blockTokens * charactersPerToken;
     for (std::size_t at = 0; at + blockBytes <= sequence.prompt.size(); at += blockBytes) {
         hash = anvilscale::hash64(std::string_view(sequence.prompt).substr(at, blockBytes), hash);
-        const auto known = cache_.find(hash);
-        chain = chain && known != cache_.end();
-        found += chain ? blockTokens : 0;
-        if (known != cache_.end()) {
-            cacheOrder_.splice(cacheOrder_.begin(), cacheOrder_, known->second);
+        const auto cached = cache_.find(hash);
+        isPrefixCached = isPrefixCached && cached != cache_.end();
+        found += isPrefixCached ? blockTokens : 0;
+        if (cached != cache_.end()) {
+            cacheOrder_.splice(cacheOrder_.begin(), cacheOrder_, cached->second);
             continue;
         }
         cacheOrder_.push_front(hash);
@@ -253,7 +254,7 @@
 
 std::chrono::microseconds EngineCore::stepTime()
 {
-    const auto adapters = adaptersOf(running_).size();
+    const auto adapters = distinctAdapters(running_).size();
     const auto &cost = options_.cost;
     const double time = cost.base + cost.perSequence * static_cast<double>(running_.size())
                         + cost.perAdapter * static_cast<double>(adapters)
@@ -270,8 +271,8 @@
     for (const auto &sequence : sequences) {
         ++sequence->produced;
         sequence->changed.notify_all();
-        if (sequence->produced >= sequence->tokens) {
-            finish(sequence, RunEnd::Finished);
+        if (sequence->produced >= sequence->maxTokens) {
+            finish(sequence, RunState::Finished);
         }
     }
 }
@@ -280,8 +281,8 @@
 {
     std::unique_lock lock(mutex_);
     while (true) {
-        work_.wait(lock, [this] { return stopped_ || !running_.empty() || !waiting_.empty(); });
-        if (stopped_) {
+        workAvailable_.wait(lock, [this] { return isStopped_ || !running_.empty() || !waiting_.empty(); });
+        if (isStopped_) {
             return;
         }
         admit();
--- a/tests/standins/engine_core.h
+++ b/tests/standins/engine_core.h
@@ -1,5 +1,5 @@
-// The engine stand-in without its HTTP: adapter slots, a prefix cache, continuous batching with a cost for each step,
-// fencing, restart, and a record of every request with what the tests judge by.
+// Model of an engine without HTTP: adapter slots, prefix cache, continuous batching with a cost per step, fencing and
+// restart. Records every request.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -28,6 +28,7 @@
     double perPromptToken = 0.0;
 };
 
+/// Capacities and costs of the engine.
 struct EngineOptions
 {
     std::string baseModel;
@@ -38,14 +39,16 @@
     bool checksFencing = false;
 };
 
-enum class RunEnd : std::uint8_t {
+/// State of a sequence.
+enum class RunState : std::uint8_t {
     Running,
     Finished,
-    Cancelled, ///< the connection was closed
-    Cut, ///< by a restart
+    Cancelled, ///< the client closed its connection
+    Cut, ///< the engine restarted
     Count
 };
 
+/// One request with its progress.
 struct Sequence
 {
     std::uint64_t id = 0;
@@ -53,15 +56,16 @@
     std::string prompt;
     std::string key;
     std::int64_t priority = 0;
-    std::size_t tokens = 0; ///< to be generated
+    std::size_t maxTokens = 0; ///< number of tokens to generate
     std::size_t promptTokens = 0;
     std::size_t produced = 0;
-    RunEnd end = RunEnd::Running;
-    bool evicted = false; ///< its adapter was unloaded while it ran
+    RunState state = RunState::Running;
+    bool wasEvicted = false; ///< its adapter was unloaded while it ran
     std::condition_variable changed;
 };
 using SequencePtr = std::shared_ptr<Sequence>;
 
+/// Result of a load or unload order.
 enum class OrderResult : std::uint8_t {
     Done,
     Fenced,
@@ -73,9 +77,10 @@
     Count
 };
 
+/// Counters and current state of the engine.
 struct EngineStats
 {
-    double startTime = 0.0;
+    double startTime = 0.0; ///< seconds since the Unix epoch
     std::size_t running = 0;
     std::size_t waiting = 0;
     std::vector<std::string> loaded;
@@ -84,7 +89,7 @@
     std::uint64_t loads = 0;
     std::uint64_t failedLoads = 0;
     std::uint64_t unloads = 0;
-    std::uint64_t fenced = 0; ///< orders refused for an old fencing number
+    std::uint64_t fenced = 0; ///< orders refused because of an old fencing number
     std::uint64_t evictionsUnderCall = 0;
     std::uint64_t unknownModel = 0;
     std::uint64_t steps = 0;
@@ -94,6 +99,7 @@
     std::uint64_t highestFence = 0;
 };
 
+/// Thread-safe engine with a thread that executes the steps.
 class EngineCore
 {
 public:
@@ -104,47 +110,50 @@
     {
         return options_;
     }
-    /// Null if the model is not loaded, or the engine is down.
+    /// Queues a request. Returns null if the model is not loaded or the engine is down.
     SequencePtr submit(Sequence &&request);
-    /// Waits up to `wait` for more than `have` tokens or the end; returns the tokens produced.
-    std::size_t waitTokens(const SequencePtr &sequence, std::size_t have, std::chrono::milliseconds wait, RunEnd &end);
+    /// Waits up to `wait` for more than `have` tokens or the end of the sequence. Returns the number of tokens produced
+    /// and sets `end`.
+    std::size_t waitForTokens(const SequencePtr &sequence, std::size_t knownTokens, std::chrono::milliseconds wait,
+                              RunState &end);
     void cancel(const SequencePtr &sequence);
 
-    /// Takes a slot; the weights are then fetched by the caller, who calls finishLoad().
+    /// Reserves a slot. If Done, the caller fetches the weights and then calls finishLoad().
     OrderResult beginLoad(const std::string &name, std::uint64_t fence);
+    /// `restarts` is the value of restarts() before beginLoad(). Returns Down if the engine restarted since.
     OrderResult finishLoad(const std::string &name, std::uint64_t restarts, bool fetched);
     OrderResult unload(const std::string &name, std::uint64_t fence);
 
-    /// Loses every loaded adapter and prefix and cuts all that runs.
+    /// Discards all adapters and cached prefixes, cuts all sequences and stays down for the given time.
     void restart(std::chrono::milliseconds down);
-    bool up() const;
+    bool isUp() const;
     std::uint64_t restarts() const;
     EngineStats stats() const;
-    std::vector<SequencePtr> record() const;
+    std::vector<SequencePtr> records() const;
 
 private:
     void run();
     void admit();
     std::chrono::microseconds stepTime();
     void produce();
-    void finish(const SequencePtr &sequence, RunEnd end);
-    bool fenced(std::uint64_t fence);
+    void finish(const SequencePtr &sequence, RunState end);
+    bool isFencedOff(std::uint64_t fence);
     std::size_t lookUpPrefix(const Sequence &sequence);
 
     const EngineOptions options_;
     mutable std::mutex mutex_; // guards all below
-    std::condition_variable work_;
-    bool stopped_ = false;
+    std::condition_variable workAvailable_;
+    bool isStopped_ = false;
     std::uint64_t restarts_ = 0;
-    std::chrono::steady_clock::time_point upAt_{};
+    std::chrono::steady_clock::time_point availableAt_{};
     std::set<std::string> loaded_;
-    std::set<std::string> loading_; // invariant: loaded_ and loading_ together fill at most the slots
-    std::vector<SequencePtr> waiting_; // by priority, then arrival
-    std::vector<SequencePtr> running_; // at most the batch limit
-    std::size_t newPromptTokens_ = 0; // of the sequences admitted to the next step
+    std::set<std::string> loading_; // invariant: loaded_.size() + loading_.size() <= options_.slots
+    std::vector<SequencePtr> waiting_; // ordered by priority, then arrival
+    std::vector<SequencePtr> running_; // at most options_.batchLimit
+    std::size_t newPromptTokens_ = 0; // uncached prompt tokens of the sequences admitted to the next step
     std::list<std::uint64_t> cacheOrder_; // most recently used first
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> cache_;
-    std::vector<SequencePtr> record_;
+    std::vector<SequencePtr> records_;
     EngineStats stats_;
     std::thread thread_;
 };
--- a/tests/standins/expected_answer.h
+++ b/tests/standins/expected_answer.h
@@ -1,5 +1,5 @@
-// What the engine stand-in answers: a function of the adapter's name, the prompt and the number of tokens, so that a
-// test can tell a wrong adapter, another caller's answer and a missing or foreign part of an answer.
+// Answers of the engine stand-in as a function of adapter, prompt and token count. Tests use them to detect a wrong
+// adapter, another caller's answer, and missing or foreign parts.
 #pragma once
 
 #include "anvilscale/base.h"
@@ -11,6 +11,7 @@
 
 namespace standins {
 
+/// Returns 16 hexadecimal digits.
 inline std::string hexText(std::uint64_t value)
 {
     constexpr std::size_t digits = 17;
@@ -19,7 +20,7 @@
     return text.data();
 }
 
-/// Token `index` of an answer of `count` tokens. The first names the adapter, the last closes the answer.
+/// Returns token `index` of an answer of `count` tokens. The first token names the adapter, the last one marks the end.
 inline std::string answerToken(const std::string &model, const std::string &prompt, std::size_t index,
                                std::size_t count)
 {
@@ -30,6 +31,7 @@
     return index + 1 == count ? " end-" + hexText(hash) : " " + hexText(hash).substr(0, 4);
 }
 
+/// Returns the full answer of `count` tokens.
 inline std::string expectedAnswer(const std::string &model, const std::string &prompt, std::size_t count)
 {
     std::string text;
--- a/tests/standins/faults.cpp
+++ b/tests/standins/faults.cpp
@@ -1,4 +1,4 @@
-// Faults of the key-value stand-in.
+// Fault injection of the key-value stand-in.
 #include "faults.h"
 
 #include <algorithm>
@@ -7,42 +7,43 @@
 namespace standins {
 
 namespace {
-constexpr std::chrono::milliseconds hangStep(10);
+constexpr std::chrono::milliseconds hangPollInterval(10);
 }
 
-void Faults::set(const JsonObject &object)
+void FaultInjector::set(const JsonObject &object)
 {
     const std::scoped_lock lock(mutex_);
     if (object.has("outage")) {
         const auto name = object.getValue<std::string>("outage");
         outage_ = name == "down" ? Outage::Down : name == "hang" ? Outage::Hang : Outage::None;
     }
-    delay_ = std::chrono::milliseconds(option<Poco::Int64>(object, "delayMs", delay_.count()));
-    loseReplies_ = option<Poco::UInt64>(object, "loseReplies", loseReplies_);
-    loseProbability_ = option<double>(object, "loseProbability", loseProbability_);
+    delay_ = std::chrono::milliseconds(fieldOr<Poco::Int64>(object, "delayMs", delay_.count()));
+    loseReplies_ = fieldOr<Poco::UInt64>(object, "loseReplies", loseReplies_);
+    loseProbability_ = fieldOr<double>(object, "loseProbability", loseProbability_);
     if (object.has("seed")) {
         random_ = anvilscale::Random(object.getValue<Poco::UInt64>("seed"));
     }
     if (object.has("ratePerSecond")) {
-        rate_ = object.getValue<double>("ratePerSecond");
-        tokens_ = rate_;
+        ratePerSecond_ = object.getValue<double>("ratePerSecond");
+        tokens_ = ratePerSecond_;
     }
 }
 
-bool Faults::out() const
+bool FaultInjector::hasOutage() const
 {
     const std::scoped_lock lock(mutex_);
     return outage_ != Outage::None;
 }
 
-bool Faults::overRate()
+bool FaultInjector::isOverRate()
 {
-    if (rate_ <= 0.0) {
+    if (ratePerSecond_ <= 0.0) {
         return false;
     }
     const auto now = std::chrono::steady_clock::now();
-    tokens_ = std::min(rate_, tokens_ + std::chrono::duration<double>(now - filled_).count() * rate_);
-    filled_ = now;
+    tokens_ =
+        std::min(ratePerSecond_, tokens_ + std::chrono::duration<double>(now - refilledAt_).count() * ratePerSecond_);
+    refilledAt_ = now;
     if (tokens_ < 1.0) {
         return true;
     }
@@ -50,7 +51,7 @@
     return false;
 }
 
-Fate Faults::next(bool write)
+ReplyAction FaultInjector::nextAction(bool isWrite)
 {
     std::unique_lock lock(mutex_);
     const auto delay = delay_;
@@ -59,26 +60,26 @@
     lock.lock();
     while (outage_ == Outage::Hang) {
         lock.unlock();
-        std::this_thread::sleep_for(hangStep);
+        std::this_thread::sleep_for(hangPollInterval);
         lock.lock();
         if (outage_ != Outage::Hang) {
-            return Fate::Close; // the caller gave up long ago
+            return ReplyAction::Close; // the caller has timed out by now
         }
     }
     if (outage_ == Outage::Down) {
-        return Fate::Close;
+        return ReplyAction::Close;
     }
-    if (overRate()) {
-        return Fate::TooMany;
+    if (isOverRate()) {
+        return ReplyAction::RateLimited;
     }
-    if (!write) {
-        return Fate::Answer;
+    if (!isWrite) {
+        return ReplyAction::Answer;
     }
     if (loseReplies_ > 0) {
         --loseReplies_;
-        return Fate::LoseReply;
+        return ReplyAction::LoseReply;
     }
-    return loseProbability_ > 0.0 && random_.unit() < loseProbability_ ? Fate::LoseReply : Fate::Answer;
+    return loseProbability_ > 0.0 && random_.unit() < loseProbability_ ? ReplyAction::LoseReply : ReplyAction::Answer;
 }
 
 } // namespace standins
--- a/tests/standins/faults.h
+++ b/tests/standins/faults.h
@@ -1,4 +1,4 @@
-// Faults that the key-value stand-in shows on request: outage, delay, lost replies, a rate limit.
+// Fault injection of the key-value stand-in: outages, delays, lost replies and a rate limit.
 #pragma once
 
 #include "http_host.h"
@@ -9,39 +9,43 @@
 
 namespace standins {
 
+/// Behaviour during an outage.
 enum class Outage {
     None,
-    Down, ///< connections are closed without an answer, and nothing takes effect
-    Hang ///< no answer and no effect until the outage ends
+    Down, ///< closes connections without an answer or effect
+    Hang ///< holds calls without effect until the outage ends, then closes their connections
 };
 
-enum class Fate {
+/// Handling of one call.
+enum class ReplyAction {
     Answer,
-    Close, ///< no effect, no answer
-    LoseReply, ///< the effect, but no answer
-    TooMany ///< refused by the rate limit
+    Close, ///< close the connection without effect or answer
+    LoseReply, ///< execute the call, but send no answer
+    RateLimited ///< refuse the call because of the rate limit
 };
 
-class Faults
+/// Decides the handling of each call. Thread-safe.
+class FaultInjector
 {
 public:
-    /// Sets what the object names: outage, delayMs, loseReplies, loseProbability, seed, ratePerSecond.
+    /// Applies the fields present: outage, delayMs, loseReplies, loseProbability, seed, ratePerSecond.
     void set(const JsonObject &object);
-    /// Waits out the delay and the hanging outage, then says what is to become of this call.
-    Fate next(bool write);
-    bool out() const;
+    /// Blocks for the delay and a hanging outage, then returns the handling of this call. Only writes lose replies.
+    ReplyAction nextAction(bool isWrite);
+    /// An outage of either kind is active.
+    bool hasOutage() const;
 
 private:
-    bool overRate();
+    bool isOverRate();
 
     mutable std::mutex mutex_; // guards all below
     Outage outage_ = Outage::None;
     std::chrono::milliseconds delay_{0};
     std::uint64_t loseReplies_ = 0;
     double loseProbability_ = 0.0;
-    double rate_ = 0.0; // 0: no limit
-    double tokens_ = 0.0;
-    std::chrono::steady_clock::time_point filled_ = std::chrono::steady_clock::now();
+    double ratePerSecond_ = 0.0; // calls per second; 0 for no limit
+    double tokens_ = 0.0; // of the rate limit's token bucket
+    std::chrono::steady_clock::time_point refilledAt_ = std::chrono::steady_clock::now();
     anvilscale::Random random_{1};
 };
 
--- a/tests/standins/http_host.cpp
+++ b/tests/standins/http_host.cpp
@@ -1,4 +1,4 @@
-// The HTTP server and helpers that all stand-ins share.
+// HTTP server and helpers shared by all stand-ins.
 #include "http_host.h"
 
 #include <Poco/Exception.h>
@@ -20,7 +20,7 @@
 namespace standins {
 
 namespace {
-constexpr int connectionLimit = 2048;
+constexpr int maxConnections = 2048;
 constexpr int keepAliveSeconds = 300;
 
 class CallHandler : public Poco::Net::HTTPRequestHandler
@@ -35,7 +35,7 @@
         try {
             handler_(request, response);
         } catch (const Poco::Net::NetException &) {
-            cut(request);
+            closeConnection(request);
         } catch (const Poco::Exception &error) {
             if (!response.sent()) {
                 sendText(response, HTTPServerResponse::HTTP_BAD_REQUEST, "text/plain", error.displayText());
@@ -68,15 +68,15 @@
     return static_cast<Poco::Net::HTTPServerRequestImpl &>(request).socket();
 }
 
-// A reader that waits for the file must never find a part of the number.
-void writePort(const std::string &file, unsigned port)
+// Renames a complete file into place, so that a waiting reader never sees a partial number.
+void writePortFile(const std::string &file, unsigned port)
 {
-    const std::string part = file + ".part";
+    const std::string partialFile = file + ".part";
     {
-        std::ofstream out(part);
+        std::ofstream out(partialFile);
         out << port << "\n";
     }
-    std::rename(part.c_str(), file.c_str());
+    std::rename(partialFile.c_str(), file.c_str());
 }
 
 sigset_t stopSignals()
@@ -90,12 +90,12 @@
 } // namespace
 
 HttpHost::HttpHost(Handler handler, const std::string &address, unsigned port)
-    : pool_(2, connectionLimit)
-    , socket_(Poco::Net::SocketAddress(address, static_cast<Poco::UInt16>(port)), connectionLimit)
+    : pool_(2, maxConnections)
+    , socket_(Poco::Net::SocketAddress(address, static_cast<Poco::UInt16>(port)), maxConnections)
 {
     auto params = Poco::makeAuto<Poco::Net::HTTPServerParams>();
-    params->setMaxThreads(connectionLimit);
-    params->setMaxQueued(connectionLimit);
+    params->setMaxThreads(maxConnections);
+    params->setMaxQueued(maxConnections);
     params->setKeepAlive(true);
     params->setMaxKeepAliveRequests(0);
     params->setKeepAliveTimeout(Poco::Timespan(keepAliveSeconds, 0));
@@ -128,13 +128,13 @@
     if (file.empty()) {
         std::cout << host.port() << std::endl;
     } else {
-        writePort(file, host.port());
+        writePortFile(file, host.port());
     }
     const sigset_t set = stopSignals();
     int signal = 0;
     sigwait(&set, &signal);
     std::cout.flush();
-    // Handlers may still wait for slow work; a stand-in keeps nothing, so it need not wait for them.
+    // Exits without waiting for handlers, which may block for long; a stand-in has no state to save.
     std::_Exit(0);
 }
 
@@ -159,7 +159,7 @@
     }
 }
 
-std::string print(const JsonObject &object)
+std::string toJsonText(const JsonObject &object)
 {
     std::ostringstream out;
     object.stringify(out);
@@ -168,7 +168,7 @@
 
 void sendJson(HTTPServerResponse &response, int status, const JsonObject &body)
 {
-    sendText(response, status, "application/json", print(body));
+    sendText(response, status, "application/json", toJsonText(body));
 }
 
 void sendText(HTTPServerResponse &response, int status, const std::string &type, const std::string &body)
@@ -178,7 +178,7 @@
     response.sendBuffer(body.data(), body.size());
 }
 
-bool clientGone(HTTPServerRequest &request)
+bool isClientDisconnected(HTTPServerRequest &request)
 {
     try {
         auto &socket = socketOf(request);
@@ -192,12 +192,12 @@
     }
 }
 
-void cut(HTTPServerRequest &request)
+void closeConnection(HTTPServerRequest &request)
 {
     try {
         socketOf(request).shutdown();
     } catch (const Poco::Exception &) {
-        return; // it is closed already
+        return; // already closed
     }
 }
 
--- a/tests/standins/http_host.h
+++ b/tests/standins/http_host.h
@@ -1,6 +1,5 @@
-// What all stand-ins share: an HTTP server on a loopback port given by the system, JSON in and out, and the end of
-// the process on SIGTERM. Stand-ins take the platform's and the endpoints' place in tests and in the demo; they are
-// never linked into the product.
+// Shared by all stand-ins: an HTTP server on a loopback port, JSON helpers, and shutdown on SIGTERM.
+// Stand-ins replace the platform and the endpoints in tests and in the demo.
 #pragma once
 
 #include <Poco/JSON/Object.h>
@@ -24,7 +23,7 @@
 using Handler = std::function<void(HTTPServerRequest &, HTTPServerResponse &)>;
 using JsonObject = Poco::JSON::Object;
 
-/// Serves `handler` until destroyed; one thread for each open connection.
+/// HTTP server that calls `handler` until destroyed, with one thread for each open connection.
 class HttpHost
 {
 public:
@@ -32,6 +31,7 @@
     ~HttpHost();
     HttpHost(const HttpHost &) = delete;
     HttpHost &operator=(const HttpHost &) = delete;
+    /// Port that the server listens on, also if it was assigned by the system.
     unsigned port() const;
 
 private:
@@ -40,26 +40,29 @@
     std::unique_ptr<Poco::Net::HTTPServer> server_;
 };
 
-/// Serves until SIGTERM or SIGINT, after writing the port to the file. Both signals must be blocked in all threads.
+/// Writes the port to the port file and serves until SIGTERM or SIGINT, then exits the process. Both signals must be
+/// blocked in all threads.
 int serveUntilStopped(const Handler &handler, const cxxopts::ParseResult &options);
+/// Blocks SIGTERM and SIGINT in the calling thread and ignores SIGPIPE. Must run before any thread is started.
 void blockStopSignals();
 
-/// The body as a JSON object; an empty one for an empty or bad body.
+/// Reads the body as a JSON object. Returns an empty object for an empty or malformed body.
 JsonObject::Ptr readJson(HTTPServerRequest &request);
 std::string readBody(HTTPServerRequest &request);
 void sendJson(HTTPServerResponse &response, int status, const JsonObject &body);
 void sendText(HTTPServerResponse &response, int status, const std::string &type, const std::string &body);
-std::string print(const JsonObject &object);
+std::string toJsonText(const JsonObject &object);
 
-/// The other end closed its connection.
-bool clientGone(HTTPServerRequest &request);
+/// The client has closed its connection.
+bool isClientDisconnected(HTTPServerRequest &request);
 /// Closes the connection without an answer.
-void cut(HTTPServerRequest &request);
+void closeConnection(HTTPServerRequest &request);
 
+/// Returns the field `name` of the object, or `otherwise` if it is missing. Throws a Poco exception on a wrong type.
 template<class T>
-T option(const JsonObject &object, const std::string &name, T otherwise)
+T fieldOr(const JsonObject &object, const std::string &name, T defaultValue)
 {
-    return object.has(name) ? object.get(name).convert<T>() : otherwise;
+    return object.has(name) ? object.get(name).convert<T>() : defaultValue;
 }
 
 } // namespace standins
--- a/tests/standins/key_value.cpp
+++ b/tests/standins/key_value.cpp
@@ -1,5 +1,5 @@
-// The key-value service stand-in: a subset of the published JSON gateway of etcd v3 over an in-memory store.
-// POST /standin sets faults (see faults.h) and {"compact": revision}; GET /standin prints counters.
+// The key-value service stand-in: a subset of etcd v3's JSON gateway over an in-memory store.
+// Control: POST /standin sets faults (see faults.h) and {"compact": revision}, GET /standin returns counters.
 #include "faults.h"
 #include "http_host.h"
 #include "key_value_store.h"
@@ -21,9 +21,9 @@
 namespace {
 using Poco::JSON::Array;
 
-constexpr std::size_t valueLimit = 1U << 20;
-constexpr std::chrono::milliseconds expiryStep(20);
-constexpr std::chrono::milliseconds watchStep(100);
+constexpr std::size_t maxValueBytes = 1U << 20;
+constexpr std::chrono::milliseconds expiryInterval(20);
+constexpr std::chrono::milliseconds watchPollInterval(100);
 constexpr int grpcInvalidArgument = 3;
 constexpr int grpcNotFound = 5;
 constexpr int grpcResourceExhausted = 8;
@@ -45,12 +45,12 @@
     return {std::istreambuf_iterator<char>(decoder), std::istreambuf_iterator<char>()};
 }
 
-std::string bytes(const JsonObject &object, const std::string &name)
+std::string decodedField(const JsonObject &object, const std::string &name)
 {
-    return decode(option<std::string>(object, name, ""));
+    return decode(fieldOr<std::string>(object, name, ""));
 }
 
-JsonObject::Ptr header(std::int64_t revision)
+JsonObject::Ptr makeHeader(std::int64_t revision)
 {
     JsonObject::Ptr object = new JsonObject;
     object->set("cluster_id", "1");
@@ -59,7 +59,7 @@
     return object;
 }
 
-JsonObject::Ptr printEntry(const StoredEntry &entry)
+JsonObject::Ptr entryToJson(const StoredEntry &entry)
 {
     JsonObject::Ptr kv = new JsonObject;
     kv->set("key", encode(entry.key));
@@ -75,14 +75,14 @@
     return kv;
 }
 
-JsonObject::Ptr printRange(const OperationResult &result, std::int64_t revision)
+JsonObject::Ptr rangeToJson(const OperationResult &result, std::int64_t revision)
 {
     Array::Ptr kvs = new Array;
     for (const auto &entry : result.entries) {
-        kvs->add(printEntry(entry));
+        kvs->add(entryToJson(entry));
     }
     JsonObject::Ptr range = new JsonObject;
-    range->set("header", header(revision));
+    range->set("header", makeHeader(revision));
     if (!result.entries.empty()) {
         range->set("kvs", kvs);
         range->set("count", std::to_string(result.entries.size()));
@@ -93,19 +93,19 @@
 StoreCompare readCompare(const JsonObject &object)
 {
     StoreCompare compare;
-    compare.key = bytes(object, "key");
-    const auto target = option<std::string>(object, "target", "VERSION");
-    if (option<std::string>(object, "result", "EQUAL") != "EQUAL") {
-        throw Poco::DataFormatException("only EQUAL is known");
+    compare.key = decodedField(object, "key");
+    const auto target = fieldOr<std::string>(object, "target", "VERSION");
+    if (fieldOr<std::string>(object, "result", "EQUAL") != "EQUAL") {
+        throw Poco::DataFormatException("only the compare result EQUAL is supported");
     }
     if (target == "MOD") {
-        compare.expected = option<Poco::Int64>(object, "mod_revision", 0);
+        compare.expected = fieldOr<Poco::Int64>(object, "mod_revision", 0);
     } else if (target == "CREATE") {
         compare.target = CompareTarget::CreateRevision;
-        compare.expected = option<Poco::Int64>(object, "create_revision", 0);
+        compare.expected = fieldOr<Poco::Int64>(object, "create_revision", 0);
     } else if (target == "VERSION") {
         compare.target = CompareTarget::Version;
-        compare.expected = option<Poco::Int64>(object, "version", 0);
+        compare.expected = fieldOr<Poco::Int64>(object, "version", 0);
     } else {
         throw Poco::DataFormatException("unknown compare target");
     }
@@ -119,8 +119,8 @@
     if (object.has("request_put")) {
         operation.kind = OperationKind::Put;
         body = object.getObject("request_put");
-        operation.value = bytes(*body, "value");
-        operation.lease = option<Poco::Int64>(*body, "lease", 0);
+        operation.value = decodedField(*body, "value");
+        operation.lease = fieldOr<Poco::Int64>(*body, "lease", 0);
     } else if (object.has("request_delete_range")) {
         operation.kind = OperationKind::Delete;
         body = object.getObject("request_delete_range");
@@ -128,8 +128,8 @@
     if (body.isNull()) {
         throw Poco::DataFormatException("unknown operation");
     }
-    operation.key = bytes(*body, "key");
-    operation.rangeEnd = bytes(*body, "range_end");
+    operation.key = decodedField(*body, "key");
+    operation.rangeEnd = decodedField(*body, "range_end");
     return operation;
 }
 
@@ -151,14 +151,14 @@
     {
         JsonObject faults;
         faults.set("ratePerSecond", options["rate"].as<double>());
-        faults_.set(faults);
+        faultInjector_.set(faults);
         expiry_ = std::thread([this] {
             while (true) {
-                std::this_thread::sleep_for(expiryStep);
+                std::this_thread::sleep_for(expiryInterval);
                 store_.expireLeases(KeyValueStore::Clock::now());
             }
         });
-        expiry_.detach(); // runs as long as the process
+        expiry_.detach(); // runs until the process exits
     }
 
     void handle(HTTPServerRequest &request, HTTPServerResponse &response)
@@ -166,26 +166,26 @@
         const std::string path = request.getURI();
         const auto body = readJson(request);
         if (path == "/standin") {
-            control(*body, response);
+            handleControl(*body, response);
             return;
         }
         ++calls_;
-        const bool write = path != "/v3/kv/range" && path != "/v3/watch";
-        const Fate fate = faults_.next(write);
-        if (fate == Fate::Close) {
-            cut(request);
-        } else if (fate == Fate::TooMany) {
-            ++refused_;
-            error(response, HTTPServerResponse::HTTP_TOO_MANY_REQUESTS, grpcResourceExhausted, "too many requests");
+        const bool isWrite = path != "/v3/kv/range" && path != "/v3/watch";
+        const ReplyAction action = faultInjector_.nextAction(isWrite);
+        if (action == ReplyAction::Close) {
+            closeConnection(request);
+        } else if (action == ReplyAction::RateLimited) {
+            ++refusedCalls_;
+            sendError(response, HTTPServerResponse::HTTP_TOO_MANY_REQUESTS, grpcResourceExhausted, "too many requests");
         } else if (path == "/v3/watch") {
-            watch(request, response, *body);
+            handleWatch(request, response, *body);
         } else {
-            answer(request, response, path, *body, fate == Fate::LoseReply);
+            handleCall(request, response, path, *body, action == ReplyAction::LoseReply);
         }
     }
 
 private:
-    static void error(HTTPServerResponse &response, int status, int code, const std::string &message)
+    static void sendError(HTTPServerResponse &response, int status, int code, const std::string &message)
     {
         JsonObject object;
         object.set("error", "etcdserver: " + message);
@@ -194,61 +194,61 @@
         sendJson(response, status, object);
     }
 
-    void control(const JsonObject &body, HTTPServerResponse &response)
+    void handleControl(const JsonObject &body, HTTPServerResponse &response)
     {
-        faults_.set(body);
+        faultInjector_.set(body);
         if (body.has("compact")) {
             store_.compact(body.getValue<Poco::Int64>("compact"));
         }
         JsonObject object;
         object.set("calls", calls_.load());
-        object.set("refused", refused_.load());
-        object.set("lostReplies", lost_.load());
-        object.set("watches", watches_.load());
-        object.set("leases", store_.leases());
+        object.set("refused", refusedCalls_.load());
+        object.set("lostReplies", lostReplies_.load());
+        object.set("watches", openWatches_.load());
+        object.set("leases", store_.leaseCount());
         object.set("revision", store_.revision());
         sendJson(response, HTTPServerResponse::HTTP_OK, object);
     }
 
-    void answer(HTTPServerRequest &request, HTTPServerResponse &response, const std::string &path,
-                const JsonObject &body, bool lose)
+    void handleCall(HTTPServerRequest &request, HTTPServerResponse &response, const std::string &path,
+                    const JsonObject &body, bool loseReply)
     {
         JsonObject object;
         int status = HTTPServerResponse::HTTP_OK;
         if (path == "/v3/kv/range") {
             StoreOperation operation;
-            operation.key = bytes(body, "key");
-            operation.rangeEnd = bytes(body, "range_end");
+            operation.key = decodedField(body, "key");
+            operation.rangeEnd = decodedField(body, "range_end");
             const auto result = store_.txn({}, {operation}, {});
-            object = *printRange(result.results.at(0), result.revision);
+            object = *rangeToJson(result.results.at(0), result.revision);
         } else if (path == "/v3/kv/txn") {
-            status = txn(body, object);
+            status = handleTxn(body, object);
         } else if (path == "/v3/lease/grant") {
-            const auto seconds = option<Poco::Int64>(body, "TTL", 0);
+            const auto seconds = fieldOr<Poco::Int64>(body, "TTL", 0);
             object.set("ID", std::to_string(store_.grantLease(seconds)));
             object.set("TTL", std::to_string(seconds));
-            object.set("header", header(store_.revision()));
+            object.set("header", makeHeader(store_.revision()));
         } else if (path == "/v3/lease/keepalive") {
-            keepAlive(body, object);
+            handleKeepAlive(body, object);
         } else if (path == "/v3/lease/revoke" || path == "/v3/kv/lease/revoke") {
-            status = revoke(body, object);
+            status = handleRevoke(body, object);
         } else {
             status = HTTPServerResponse::HTTP_NOT_FOUND;
             object.set("code", grpcInvalidArgument);
         }
-        if (lose) {
-            ++lost_;
-            cut(request);
+        if (loseReply) {
+            ++lostReplies_;
+            closeConnection(request);
             return;
         }
         sendJson(response, status, object);
     }
 
-    int txn(const JsonObject &body, JsonObject &object)
+    int handleTxn(const JsonObject &body, JsonObject &object)
     {
         const auto success = readList(body, "success", readOperation);
         for (const auto &operation : success) {
-            if (operation.value.size() > valueLimit) {
+            if (operation.value.size() > maxValueBytes) {
                 object.set("error", "etcdserver: request is too large");
                 object.set("code", grpcInvalidArgument);
                 return HTTPServerResponse::HTTP_BAD_REQUEST;
@@ -261,7 +261,7 @@
             object.set("code", grpcNotFound);
             return HTTPServerResponse::HTTP_NOT_FOUND;
         }
-        object.set("header", header(result.revision));
+        object.set("header", makeHeader(result.revision));
         if (result.succeeded) {
             object.set("succeeded", true);
         }
@@ -271,19 +271,19 @@
             const bool put = part.kind == OperationKind::Put;
             const char *name = put ? "response_put" : "response_delete_range";
             wrapped->set(part.kind == OperationKind::Range ? "response_range" : name,
-                         printRange(part, result.revision));
+                         rangeToJson(part, result.revision));
             responses->add(wrapped);
         }
         object.set("responses", responses);
         return HTTPServerResponse::HTTP_OK;
     }
 
-    void keepAlive(const JsonObject &body, JsonObject &object)
+    void handleKeepAlive(const JsonObject &body, JsonObject &object)
     {
-        const auto id = option<Poco::Int64>(body, "ID", 0);
+        const auto id = fieldOr<Poco::Int64>(body, "ID", 0);
         const auto seconds = store_.keepAlive(id);
         JsonObject::Ptr result = new JsonObject;
-        result->set("header", header(store_.revision()));
+        result->set("header", makeHeader(store_.revision()));
         result->set("ID", std::to_string(id));
         if (seconds) {
             result->set("TTL", std::to_string(*seconds));
@@ -291,61 +291,61 @@
         object.set("result", result);
     }
 
-    int revoke(const JsonObject &body, JsonObject &object)
+    int handleRevoke(const JsonObject &body, JsonObject &object)
     {
-        if (!store_.revokeLease(option<Poco::Int64>(body, "ID", 0))) {
+        if (!store_.revokeLease(fieldOr<Poco::Int64>(body, "ID", 0))) {
             object.set("error", "etcdserver: requested lease not found");
             object.set("code", grpcNotFound);
             return HTTPServerResponse::HTTP_NOT_FOUND;
         }
-        object.set("header", header(store_.revision()));
+        object.set("header", makeHeader(store_.revision()));
         return HTTPServerResponse::HTTP_OK;
     }
 
-    static void send(std::ostream &out, const JsonObject::Ptr &result)
+    static void sendLine(std::ostream &out, const JsonObject::Ptr &result)
     {
         JsonObject line;
         line.set("result", result);
-        out << print(line) + "\n" << std::flush;
+        out << toJsonText(line) + "\n" << std::flush;
     }
 
     JsonObject::Ptr watchHeader() const
     {
         JsonObject::Ptr result = new JsonObject;
-        result->set("header", header(store_.revision()));
+        result->set("header", makeHeader(store_.revision()));
         return result;
     }
 
-    void watch(HTTPServerRequest &request, HTTPServerResponse &response, const JsonObject &body)
+    void handleWatch(HTTPServerRequest &request, HTTPServerResponse &response, const JsonObject &body)
     {
         const auto create = body.getObject("create_request");
         if (create.isNull()) {
-            error(response, HTTPServerResponse::HTTP_BAD_REQUEST, grpcInvalidArgument, "no create_request");
+            sendError(response, HTTPServerResponse::HTTP_BAD_REQUEST, grpcInvalidArgument, "no create_request");
             return;
         }
-        const auto key = bytes(*create, "key");
-        const auto rangeEnd = bytes(*create, "range_end");
+        const auto key = decodedField(*create, "key");
+        const auto rangeEnd = decodedField(*create, "range_end");
         auto created = watchHeader();
-        std::int64_t next = option<Poco::Int64>(*create, "start_revision", 0);
+        std::int64_t next = fieldOr<Poco::Int64>(*create, "start_revision", 0);
         next = next == 0 ? created->getObject("header")->get("revision").convert<Poco::Int64>() + 1 : next;
         response.setChunkedTransferEncoding(true);
         response.setContentType("application/json");
         std::ostream &out = response.send();
         created->set("created", true);
-        send(out, created);
-        if (next < store_.compacted()) {
-            auto over = watchHeader();
-            over->set("canceled", true);
-            over->set("compact_revision", std::to_string(store_.compacted()));
-            send(out, over);
+        sendLine(out, created);
+        if (next < store_.compactedRevision()) {
+            auto cancellation = watchHeader();
+            cancellation->set("canceled", true);
+            cancellation->set("compact_revision", std::to_string(store_.compactedRevision()));
+            sendLine(out, cancellation);
             return;
         }
-        ++watches_;
-        while (out.good() && !clientGone(request) && !faults_.out()) {
-            sendEvents(out, store_.events(key, rangeEnd, next, watchStep, next));
+        ++openWatches_;
+        while (out.good() && !isClientDisconnected(request) && !faultInjector_.hasOutage()) {
+            sendEvents(out, store_.waitForEvents(key, rangeEnd, next, watchPollInterval, next));
         }
-        --watches_;
-        cut(request);
+        --openWatches_;
+        closeConnection(request);
     }
 
     void sendEvents(std::ostream &out, const std::vector<StoreEvent> &events) const
@@ -359,27 +359,28 @@
             if (event.deleted) {
                 item->set("type", "DELETE");
             }
-            item->set("kv", printEntry(event.entry));
+            item->set("kv", entryToJson(event.entry));
             list->add(item);
         }
         auto result = watchHeader();
         result->set("events", list);
-        send(out, result);
+        sendLine(out, result);
     }
 
     KeyValueStore store_;
-    Faults faults_;
+    FaultInjector faultInjector_;
     std::atomic<std::uint64_t> calls_ = 0;
-    std::atomic<std::uint64_t> refused_ = 0;
-    std::atomic<std::uint64_t> lost_ = 0;
-    std::atomic<std::uint64_t> watches_ = 0;
+    std::atomic<std::uint64_t> refusedCalls_ = 0;
+    std::atomic<std::uint64_t> lostReplies_ = 0;
+    std::atomic<std::uint64_t> openWatches_ = 0;
     std::thread expiry_;
 };
 } // namespace
 
 void keyValueOptions(cxxopts::Options &options)
 {
-    options.add_options()("rate", "calls a second, 0: no limit", cxxopts::value<double>()->default_value("0"));
+    options.add_options()("rate", "maximum calls per second, 0 for no limit",
+                          cxxopts::value<double>()->default_value("0"));
 }
 
 int runKeyValue(const cxxopts::ParseResult &options)
--- a/tests/standins/key_value_store.cpp
+++ b/tests/standins/key_value_store.cpp
@@ -1,4 +1,4 @@
-// The in-memory store behind the key-value stand-in.
+// In-memory store of the key-value stand-in.
 #include "key_value_store.h"
 
 #include <algorithm>
@@ -11,12 +11,12 @@
     if (rangeEnd.empty()) {
         return candidate == key;
     }
-    const bool toTheEnd = rangeEnd == std::string(1, '\0');
-    return candidate >= key && (toTheEnd || candidate < rangeEnd);
+    const bool isOpenEnded = rangeEnd == std::string(1, '\0');
+    return candidate >= key && (isOpenEnded || candidate < rangeEnd);
 }
 } // namespace
 
-bool KeyValueStore::holds(const StoreCompare &compare) const
+bool KeyValueStore::isSatisfied(const StoreCompare &compare) const
 {
     const auto found = entries_.find(compare.key);
     const StoredEntry none;
@@ -32,7 +32,7 @@
     return false;
 }
 
-std::vector<std::string> KeyValueStore::keysIn(const std::string &key, const std::string &rangeEnd) const
+std::vector<std::string> KeyValueStore::keysInRange(const std::string &key, const std::string &rangeEnd) const
 {
     std::vector<std::string> keys;
     for (auto at = entries_.lower_bound(key); at != entries_.end() && inRange(at->first, key, rangeEnd); ++at) {
@@ -41,17 +41,17 @@
     return keys;
 }
 
-void KeyValueStore::remove(const std::string &key, std::int64_t at)
+void KeyValueStore::remove(const std::string &key, std::int64_t newRevision)
 {
     StoreEvent event;
     event.deleted = true;
     event.entry.key = key;
-    event.entry.modRevision = at;
+    event.entry.modRevision = newRevision;
     entries_.erase(key);
     history_.push_back(event);
 }
 
-OperationResult KeyValueStore::apply(const StoreOperation &operation, std::int64_t at, bool &changed)
+OperationResult KeyValueStore::apply(const StoreOperation &operation, std::int64_t newRevision, bool &changed)
 {
     OperationResult result;
     result.kind = operation.kind;
@@ -59,20 +59,20 @@
         auto &entry = entries_[operation.key];
         entry.key = operation.key;
         entry.value = operation.value;
-        entry.createRevision = entry.createRevision == 0 ? at : entry.createRevision;
-        entry.modRevision = at;
+        entry.createRevision = entry.createRevision == 0 ? newRevision : entry.createRevision;
+        entry.modRevision = newRevision;
         ++entry.version;
         entry.lease = operation.lease;
         history_.push_back({false, entry});
         changed = true;
         return result;
     }
-    for (const auto &key : keysIn(operation.key, operation.rangeEnd)) {
+    for (const auto &key : keysInRange(operation.key, operation.rangeEnd)) {
         if (operation.kind == OperationKind::Range) {
             result.entries.push_back(entries_[key]);
             continue;
         }
-        remove(key, at);
+        remove(key, newRevision);
         ++result.deleted;
         changed = true;
     }
@@ -84,7 +84,7 @@
 {
     const std::scoped_lock lock(mutex_);
     TxnResult result;
-    result.succeeded = std::all_of(compares.begin(), compares.end(), [this](const auto &c) { return holds(c); });
+    result.succeeded = std::all_of(compares.begin(), compares.end(), [this](const auto &c) { return isSatisfied(c); });
     const auto &operations = result.succeeded ? success : failure;
     for (const auto &operation : operations) {
         if (operation.lease != 0 && !leases_.contains(operation.lease)) {
@@ -124,11 +124,11 @@
     if (found == leases_.end()) {
         return std::nullopt;
     }
-    found->second.end = Clock::now() + std::chrono::seconds(found->second.seconds);
+    found->second.expiresAt = Clock::now() + std::chrono::seconds(found->second.seconds);
     return found->second.seconds;
 }
 
-void KeyValueStore::dropLease(std::int64_t lease)
+void KeyValueStore::removeLease(std::int64_t lease)
 {
     std::vector<std::string> keys;
     for (const auto &[key, entry] : entries_) {
@@ -152,25 +152,25 @@
     if (!leases_.contains(lease)) {
         return false;
     }
-    dropLease(lease);
+    removeLease(lease);
     return true;
 }
 
 void KeyValueStore::expireLeases(Clock::time_point now)
 {
     const std::scoped_lock lock(mutex_);
-    std::vector<std::int64_t> over;
+    std::vector<std::int64_t> expired;
     for (const auto &[id, lease] : leases_) {
-        if (lease.end <= now) {
-            over.push_back(id);
+        if (lease.expiresAt <= now) {
+            expired.push_back(id);
         }
     }
-    for (const auto id : over) {
-        dropLease(id);
+    for (const auto id : expired) {
+        removeLease(id);
     }
 }
 
-std::size_t KeyValueStore::leases() const
+std::size_t KeyValueStore::leaseCount() const
 {
     const std::scoped_lock lock(mutex_);
     return leases_.size();
@@ -179,18 +179,19 @@
 void KeyValueStore::compact(std::int64_t revision)
 {
     const std::scoped_lock lock(mutex_);
-    compacted_ = std::max(compacted_, revision);
-    std::erase_if(history_, [this](const StoreEvent &event) { return event.entry.modRevision < compacted_; });
+    compactedRevision_ = std::max(compactedRevision_, revision);
+    std::erase_if(history_, [this](const StoreEvent &event) { return event.entry.modRevision < compactedRevision_; });
 }
 
-std::int64_t KeyValueStore::compacted() const
+std::int64_t KeyValueStore::compactedRevision() const
 {
     const std::scoped_lock lock(mutex_);
-    return compacted_;
+    return compactedRevision_;
 }
 
-std::vector<StoreEvent> KeyValueStore::events(const std::string &key, const std::string &rangeEnd, std::int64_t from,
-                                              std::chrono::milliseconds wait, std::int64_t &next)
+std::vector<StoreEvent> KeyValueStore::waitForEvents(const std::string &key, const std::string &rangeEnd,
+                                                     std::int64_t from, std::chrono::milliseconds wait,
+                                                     std::int64_t &next)
 {
     std::unique_lock lock(mutex_);
     changed_.wait_for(lock, wait, [&] { return revision_ >= from; });
--- a/tests/standins/main.cpp
+++ b/tests/standins/main.cpp
@@ -1,4 +1,4 @@
-// standins: small replacements for the platform and the endpoints, one subcommand for each.
+// The program standins: stand-ins for the platform and the endpoints, one subcommand for each.
 #include "http_host.h"
 #include "subcommands.h"
 
@@ -31,11 +31,11 @@
 int runSubcommand(const Subcommand &subcommand, int argc, char **argv)
 {
     cxxopts::Options options("standins " + std::string(subcommand.name));
-    options.add_options()("address", "loopback number to listen on",
+    options.add_options()("address", "loopback address to listen on",
                           cxxopts::value<std::string>()->default_value("127.0.0.1"))(
-        "port", "port, 0: given by the system", cxxopts::value<unsigned>()->default_value("0"))(
-        "port-file", "file the port is written to, empty: standard output",
-        cxxopts::value<std::string>()->default_value(""))("help", "print this");
+        "port", "port, 0 for one assigned by the system", cxxopts::value<unsigned>()->default_value("0"))(
+        "port-file", "file that the port is written to, empty for standard output",
+        cxxopts::value<std::string>()->default_value(""))("help", "print this help");
     subcommand.describe(options);
     const auto parsed = options.parse(argc, argv);
     if (parsed.count("help") > 0) {
--- a/tests/standins/service.cpp
+++ b/tests/standins/service.cpp
@@ -1,6 +1,5 @@
-// A plain service that counts its runs by Idempotency-Key. POST /standin sets {"delayMs", "rejectNext" (503 before
-// the run), "failNext" (500 after the run), "cutNext" (runs, then closes without an answer)}; GET /standin/record
-// prints the runs and how many keys ran more than once.
+// A plain service stand-in that counts its runs by Idempotency-Key. POST /standin sets {"delayMs", "rejectNext" (503,
+// no run), "failNext" (500 after the run), "cutNext" (no answer after the run)}, GET /standin/record returns the runs.
 #include "http_host.h"
 #include "subcommands.h"
 
@@ -24,12 +23,12 @@
     std::string digest;
 };
 
-bool takeOne(std::uint64_t &left)
+bool consumeOne(std::uint64_t &remaining)
 {
-    if (left == 0) {
+    if (remaining == 0) {
         return false;
     }
-    --left;
+    --remaining;
     return true;
 }
 
@@ -46,34 +45,34 @@
     {
         const std::string path = request.getURI();
         if (path == "/standin") {
-            control(*readJson(request), response);
+            handleControl(*readJson(request), response);
         } else if (path == "/standin/record") {
-            record(response);
+            sendRecord(response);
         } else if (path == "/health") {
             sendText(response, HTTPServerResponse::HTTP_OK, "text/plain", "ok\n");
         } else {
-            run(request, response, path);
+            handleCall(request, response, path);
         }
     }
 
 private:
-    void control(const JsonObject &body, HTTPServerResponse &response)
+    void handleControl(const JsonObject &body, HTTPServerResponse &response)
     {
         {
             const std::scoped_lock lock(mutex_);
-            delay_ = std::chrono::milliseconds(option<Poco::Int64>(body, "delayMs", delay_.count()));
-            reject_ = option<Poco::UInt64>(body, "rejectNext", reject_);
-            fail_ = option<Poco::UInt64>(body, "failNext", fail_);
-            cut_ = option<Poco::UInt64>(body, "cutNext", cut_);
+            delay_ = std::chrono::milliseconds(fieldOr<Poco::Int64>(body, "delayMs", delay_.count()));
+            rejectNext_ = fieldOr<Poco::UInt64>(body, "rejectNext", rejectNext_);
+            failNext_ = fieldOr<Poco::UInt64>(body, "failNext", failNext_);
+            cutNext_ = fieldOr<Poco::UInt64>(body, "cutNext", cutNext_);
         }
         sendJson(response, HTTPServerResponse::HTTP_OK, JsonObject());
     }
 
-    void record(HTTPServerResponse &response)
+    void sendRecord(HTTPServerResponse &response)
     {
         const std::scoped_lock lock(mutex_);
         Poco::JSON::Array::Ptr list = new Poco::JSON::Array;
-        std::uint64_t doubled = 0;
+        std::uint64_t duplicateRuns = 0;
         for (const auto &run : runs_) {
             JsonObject::Ptr item = new JsonObject;
             item->set("key", run.key);
@@ -83,35 +82,35 @@
             list->add(item);
         }
         for (const auto &[key, count] : runsByKey_) {
-            doubled += key.empty() ? 0 : count - 1;
+            duplicateRuns += key.empty() ? 0 : count - 1;
         }
         JsonObject object;
         object.set("service", name_);
         object.set("total", runs_.size());
-        object.set("doubled", doubled);
+        object.set("doubled", duplicateRuns);
         object.set("runs", list);
         sendJson(response, HTTPServerResponse::HTTP_OK, object);
     }
 
-    void run(HTTPServerRequest &request, HTTPServerResponse &response, const std::string &path)
+    void handleCall(HTTPServerRequest &request, HTTPServerResponse &response, const std::string &path)
     {
         Run run{request.get("Idempotency-Key", ""), request.getMethod(), path, ""};
         run.digest = std::to_string(anvilscale::hash64(readBody(request)));
         std::unique_lock lock(mutex_);
-        if (takeOne(reject_)) {
+        if (consumeOne(rejectNext_)) {
             lock.unlock();
             sendText(response, HTTPServerResponse::HTTP_SERVICE_UNAVAILABLE, "text/plain", "busy\n");
             return;
         }
         runs_.push_back(run);
         const auto count = ++runsByKey_[run.key];
-        const bool failing = takeOne(fail_);
-        const bool cutting = !failing && takeOne(cut_);
+        const bool isFailing = consumeOne(failNext_);
+        const bool isCutting = !isFailing && consumeOne(cutNext_);
         const auto delay = delay_;
         lock.unlock();
         std::this_thread::sleep_for(delay);
-        if (cutting) {
-            cut(request);
+        if (isCutting) {
+            closeConnection(request);
             return;
         }
         JsonObject answer;
@@ -121,16 +120,16 @@
         answer.set("key", run.key);
         answer.set("digest", run.digest);
         answer.set("run", count);
-        const int status = failing ? HTTPServerResponse::HTTP_INTERNAL_SERVER_ERROR : HTTPServerResponse::HTTP_OK;
+        const int status = isFailing ? HTTPServerResponse::HTTP_INTERNAL_SERVER_ERROR : HTTPServerResponse::HTTP_OK;
         sendJson(response, status, answer);
     }
 
     const std::string name_;
     std::mutex mutex_; // guards all below
     std::chrono::milliseconds delay_;
-    std::uint64_t reject_ = 0;
-    std::uint64_t fail_ = 0;
-    std::uint64_t cut_ = 0;
+    std::uint64_t rejectNext_ = 0;
+    std::uint64_t failNext_ = 0;
+    std::uint64_t cutNext_ = 0;
     std::vector<Run> runs_;
     std::map<std::string, std::uint64_t> runsByKey_;
 };
@@ -138,8 +137,9 @@
 
 void serviceOptions(cxxopts::Options &options)
 {
-    options.add_options()("name", "name in the answers", cxxopts::value<std::string>()->default_value("service"))(
-        "delay-ms", "time of a run", cxxopts::value<unsigned>()->default_value("0"));
+    options.add_options()("name", "service name in the answers",
+                          cxxopts::value<std::string>()->default_value("service"))(
+        "delay-ms", "duration of a run in milliseconds", cxxopts::value<unsigned>()->default_value("0"));
 }
 
 int runService(const cxxopts::ParseResult &options)
--- a/tests/standins/site_replica.cpp
+++ b/tests/standins/site_replica.cpp
@@ -1,9 +1,11 @@
-// A replica of the users' platform, by its published protocol: a model engine with adapter slots, or a plain service if
-// it has none. POST /standin makes the next calls fail ({"fault": "break" | "refuse" | "foreign" | "mute", "times": N})
-// or orders go without an answer ({"lostOrders": N}), or restarts it under another id ({"id": "i-2"}), or makes each
-// call whose body holds a text end in a cut connection, as a crash would ({"crashOn": "TEXT"}), or makes it say in all
-// answers that it leaves ({"leaving": true}) or in each refusal for how many seconds it wants no calls ({"retryAfter":
-// N}). GET /standin tells what ran and which orders came.
+// Stand-in for a replica of the users' platform: a model engine with adapter slots, or a plain service without slots.
+// GET /standin returns executed calls and received orders. POST /standin sets:
+//   {"fault": "break" | "refuse" | "foreign" | "mute", "times": N}  fault of the next N calls
+//   {"lostOrders": N}     the next N orders are executed, but not answered
+//   {"id": "i-2"}         restarts the replica under another id
+//   {"crashOn": "TEXT"}   cuts the connection of each call whose body contains the text
+//   {"leaving": true}     marks all answers as those of a leaving replica
+//   {"retryAfter": N}     Retry-After of refusals, in seconds
 #include "http_host.h"
 #include "subcommands.h"
 
@@ -22,15 +24,15 @@
 using Clock = std::chrono::steady_clock;
 using Poco::JSON::Array;
 
-constexpr auto loadTime = std::chrono::milliseconds(100);
-constexpr auto muteTime = std::chrono::seconds(30);
-constexpr auto eventGap = std::chrono::milliseconds(5);
-constexpr int eventsOfAStream = 5;
+constexpr auto loadDuration = std::chrono::milliseconds(100);
+constexpr auto muteDuration = std::chrono::seconds(30);
+constexpr auto eventInterval = std::chrono::milliseconds(5);
+constexpr int eventsPerStream = 5;
 
 struct Adapter
 {
     int version = 1;
-    Clock::time_point ready;
+    Clock::time_point readyAt;
 };
 
 class SiteReplica
@@ -47,50 +49,50 @@
     {
         const auto path = request.getURI();
         if (path == "/standin") {
-            control(request, response);
+            handleControl(request, response);
         } else if (path == "/api/report") {
-            sendJson(response, HTTPServerResponse::HTTP_OK, report());
+            sendJson(response, HTTPServerResponse::HTTP_OK, makeReport());
         } else if (path == "/api/order") {
-            order(request, response);
+            handleOrder(request, response);
         } else {
-            call(request, response);
+            handleCall(request, response);
         }
     }
 
 private:
-    void control(HTTPServerRequest &request, HTTPServerResponse &response)
+    void handleControl(HTTPServerRequest &request, HTTPServerResponse &response)
     {
         const auto body = readJson(request);
         const std::scoped_lock lock(mutex_);
-        fault_ = option<std::string>(*body, "fault", fault_);
-        times_ = option(*body, "times", times_);
-        lostOrders_ = option(*body, "lostOrders", lostOrders_);
-        leaving_ = option(*body, "leaving", leaving_);
-        retryAfter_ = option(*body, "retryAfter", retryAfter_);
-        crashOn_ = option<std::string>(*body, "crashOn", crashOn_);
+        nextFault_ = fieldOr<std::string>(*body, "fault", nextFault_);
+        remainingFaults_ = fieldOr(*body, "times", remainingFaults_);
+        orderRepliesToLose_ = fieldOr(*body, "lostOrders", orderRepliesToLose_);
+        isLeaving_ = fieldOr(*body, "leaving", isLeaving_);
+        retryAfterSeconds_ = fieldOr(*body, "retryAfter", retryAfterSeconds_);
+        crashOn_ = fieldOr<std::string>(*body, "crashOn", crashOn_);
         if (body->has("id")) {
             id_ = body->getValue<std::string>("id");
             adapters_.clear();
             hasModel_ = false;
             sequence_ = 0;
         }
-        JsonObject told;
-        told.set("ran", ran_);
-        told.set("turnedAway", turnedAway_);
-        told.set("overfull", overfull_);
-        told.set("orders", orders_);
-        sendJson(response, HTTPServerResponse::HTTP_OK, told);
+        JsonObject status;
+        status.set("ran", executedIds_);
+        status.set("turnedAway", refusedCalls_);
+        status.set("overfull", hasExceededSlots_);
+        status.set("orders", orders_);
+        sendJson(response, HTTPServerResponse::HTTP_OK, status);
     }
 
-    JsonObject report()
+    JsonObject makeReport()
     {
         const std::scoped_lock lock(mutex_);
-        Array held;
+        Array loadedAdapters;
         Array pending;
         for (const auto &[name, adapter] : adapters_) {
             const auto text = name + "@" + std::to_string(adapter.version);
-            if (adapter.ready <= Clock::now()) {
-                held.add(text);
+            if (adapter.readyAt <= Clock::now()) {
+                loadedAdapters.add(text);
             } else {
                 pending.add(model_ + "/" + text);
             }
@@ -100,7 +102,7 @@
             JsonObject model;
             model.set("name", model_);
             model.set("version", 1);
-            model.set("adapters", held);
+            model.set("adapters", loadedAdapters);
             models.add(model);
         }
         JsonObject result;
@@ -111,104 +113,104 @@
         return result;
     }
 
-    void order(HTTPServerRequest &request, HTTPServerResponse &response)
+    void handleOrder(HTTPServerRequest &request, HTTPServerResponse &response)
     {
         const auto body = readJson(request);
         const std::scoped_lock lock(mutex_);
-        orders_.add(print(*body));
+        orders_.add(toJsonText(*body));
         if (request.get("X-Anvilscale-Expect-Instance", id_) != id_) {
             sendJson(response, 421, JsonObject());
             return;
         }
         const auto fence = body->getValue<Poco::Int64>("fencing_token");
-        if (fence < fence_) {
+        if (fence < highestFence_) {
             sendJson(response, 412, JsonObject());
             return;
         }
-        fence_ = fence;
-        if (option<Poco::Int64>(*body, "expected", sequence_) != sequence_) {
+        highestFence_ = fence;
+        if (fieldOr<Poco::Int64>(*body, "expected", sequence_) != sequence_) {
             sendJson(response, 409, JsonObject());
             return;
         }
-        carryOut(*body);
-        if (lostOrders_ > 0) {
-            --lostOrders_;
-            cut(request);
+        executeOrder(*body);
+        if (orderRepliesToLose_ > 0) {
+            --orderRepliesToLose_;
+            closeConnection(request);
             return;
         }
         sendJson(response, 202, JsonObject());
     }
 
-    void carryOut(const JsonObject &body)
+    void executeOrder(const JsonObject &body)
     {
         ++sequence_;
-        const auto adapter = option<std::string>(body, "adapter", "");
+        const auto adapter = fieldOr<std::string>(body, "adapter", "");
         if (adapter.empty()) {
             hasModel_ = true;
         } else if (body.getValue<std::string>("operation") == "load") {
-            adapters_[adapter] = {newest_[adapter] + 1, Clock::now() + loadTime};
-            overfull_ = overfull_ || adapters_.size() > slots_;
+            adapters_[adapter] = {newestVersions_[adapter] + 1, Clock::now() + loadDuration};
+            hasExceededSlots_ = hasExceededSlots_ || adapters_.size() > slots_;
         } else {
             adapters_.erase(adapter);
         }
     }
 
-    /// Says that the call did not run; returns false if it may.
-    bool refuses(HTTPServerRequest &request, HTTPServerResponse &response)
+    /// Answers 421 and returns true if the call cannot run here.
+    bool refuseIfUnavailable(HTTPServerRequest &request, HTTPServerResponse &response)
     {
         if (request.get("X-Anvilscale-Expect-Instance", id_) != id_) {
             response.set("X-Anvilscale-Instance-Id", id_);
             sendText(response, 421, "text/plain", "");
             return true;
         }
-        const auto wanted = request.get("X-Anvilscale-Model", "");
-        const auto slash = wanted.find('/');
-        const auto adapter = slash == std::string::npos ? std::string() : wanted.substr(slash + 1);
+        const auto requestedModel = request.get("X-Anvilscale-Model", "");
+        const auto slash = requestedModel.find('/');
+        const auto adapter = slash == std::string::npos ? std::string() : requestedModel.substr(slash + 1);
         const auto found = adapters_.find(adapter);
-        const bool there = adapter.empty() || (found != adapters_.end() && found->second.ready <= Clock::now());
-        if (slots_ != 0 && (!hasModel_ || !there)) {
+        const bool isAvailable = adapter.empty() || (found != adapters_.end() && found->second.readyAt <= Clock::now());
+        if (slots_ != 0 && (!hasModel_ || !isAvailable)) {
             sendText(response, 421, "text/plain", "");
             return true;
         }
         return false;
     }
 
-    std::string takeFault()
+    std::string takeNextFault()
     {
-        return times_ > 0 && times_-- > 0 ? fault_ : std::string();
+        return remainingFaults_ > 0 && remainingFaults_-- > 0 ? nextFault_ : std::string();
     }
 
-    void call(HTTPServerRequest &request, HTTPServerResponse &response)
+    void handleCall(HTTPServerRequest &request, HTTPServerResponse &response)
     {
         const auto body = readBody(request);
         const auto id = request.get("X-Anvilscale-Request-Id", "");
         std::string fault;
         {
             const std::scoped_lock lock(mutex_);
-            if (leaving_) {
+            if (isLeaving_) {
                 response.set("Server-Leaving", "1");
             }
-            if (refuses(request, response)) {
+            if (refuseIfUnavailable(request, response)) {
                 return;
             }
-            fault = takeFault();
+            fault = takeNextFault();
             if (fault == "refuse") {
-                ++turnedAway_;
+                ++refusedCalls_;
                 response.set("X-Anvilscale-Not-Executed", "1");
-                if (retryAfter_ != 0) {
-                    response.set("Retry-After", std::to_string(retryAfter_));
+                if (retryAfterSeconds_ != 0) {
+                    response.set("Retry-After", std::to_string(retryAfterSeconds_));
                 }
                 sendText(response, 503, "text/plain", "");
                 return;
             }
-            ran_.add(id);
+            executedIds_.add(id);
             if (!crashOn_.empty() && body.find(crashOn_) != std::string::npos) {
-                cut(request);
+                closeConnection(request);
                 return;
             }
         }
         if (fault == "mute") {
-            std::this_thread::sleep_for(muteTime);
+            std::this_thread::sleep_for(muteDuration);
             return;
         }
         response.set("X-Anvilscale-Request-Id", fault == "foreign" ? "another" : id);
@@ -229,7 +231,7 @@
         }
         response.setContentLength(100);
         response.send() << "a part" << std::flush;
-        cut(request);
+        closeConnection(request);
     }
 
     static void answerStream(HTTPServerRequest &request, HTTPServerResponse &response, const std::string &fault)
@@ -237,13 +239,13 @@
         response.setContentType("text/event-stream");
         response.setChunkedTransferEncoding(true);
         auto &out = response.send();
-        for (int i = 1; i <= eventsOfAStream; ++i) {
+        for (int i = 1; i <= eventsPerStream; ++i) {
             out << "id: " << i << "\ndata: piece " << i << "\n\n" << std::flush;
             if (fault == "break" && i == 2) {
-                cut(request);
+                closeConnection(request);
                 return;
             }
-            std::this_thread::sleep_for(eventGap);
+            std::this_thread::sleep_for(eventInterval);
         }
     }
 
@@ -253,18 +255,18 @@
     unsigned slots_;
     bool hasModel_ = false;
     std::map<std::string, Adapter> adapters_;
-    std::map<std::string, int> newest_; // versions named beyond the first
+    std::map<std::string, int> newestVersions_; // newest version of an adapter, less 1
     Poco::Int64 sequence_ = 0;
-    Poco::Int64 fence_ = 0;
-    std::string fault_;
-    int times_ = 0;
-    int lostOrders_ = 0;
-    std::string crashOn_; // empty: no call
-    bool leaving_ = false;
-    int retryAfter_ = 0; // seconds; 0: not told
-    int turnedAway_ = 0; // calls
-    bool overfull_ = false; // a load was ordered beyond the slots
-    Array ran_;
+    Poco::Int64 highestFence_ = 0;
+    std::string nextFault_;
+    int remainingFaults_ = 0;
+    int orderRepliesToLose_ = 0;
+    std::string crashOn_; // disabled if empty
+    bool isLeaving_ = false;
+    int retryAfterSeconds_ = 0; // 0 for no header
+    int refusedCalls_ = 0;
+    bool hasExceededSlots_ = false; // more adapters were loaded than there are slots
+    Array executedIds_;
     Array orders_;
 };
 
@@ -272,9 +274,9 @@
 
 void siteReplicaOptions(cxxopts::Options &options)
 {
-    options.add_options()("id", "of this incarnation", cxxopts::value<std::string>())(
-        "model", "that it can load", cxxopts::value<std::string>()->default_value("base"))(
-        "slots", "for adapters, 0: a plain service", cxxopts::value<unsigned>()->default_value("0"));
+    options.add_options()("id", "id of this incarnation", cxxopts::value<std::string>())(
+        "model", "base model of the engine", cxxopts::value<std::string>()->default_value("base"))(
+        "slots", "number of adapter slots, 0 for a plain service", cxxopts::value<unsigned>()->default_value("0"));
 }
 
 int runSiteReplica(const cxxopts::ParseResult &options)
--- a/tests/standins/site_store.cpp
+++ b/tests/standins/site_store.cpp
@@ -1,8 +1,9 @@
-// The store of the users' platform, by its published protocol: reads of all keys in pages, watches and writes. POST
-// /standin writes ({"puts": [{"key", "value"}], "deletes": [...]}), makes it answer every call with a status
-// ({"status": 503}, 0: well again), take calls and answer none ({"hang": true}; those taken meanwhile are never
-// answered), or drops its history ({"forget": true}), or takes a copy of
-// itself ({"copy": true}) and comes back from it ({"restore": true}).
+// Stand-in for the store of the users' platform: paged reads of all keys, watches and writes. POST /standin accepts:
+//   {"puts": [{"key", "value"}], "deletes": [...]}  writes and deletes keys
+//   {"status": 503}                   answers all calls with this status; 0 to end
+//   {"hang": true}                    accepts calls without ever answering them; false to end
+//   {"forget": true}                  discards the history
+//   {"copy": true}, {"restore": true}  saves a copy, and restores it in a new era
 #include "http_host.h"
 #include "subcommands.h"
 
@@ -38,8 +39,8 @@
 class SiteStore
 {
 public:
-    explicit SiteStore(std::size_t page)
-        : page_(page)
+    explicit SiteStore(std::size_t pageSize)
+        : pageSize_(pageSize)
     {
     }
 
@@ -53,26 +54,26 @@
         const auto body = readJson(request);
         std::unique_lock lock(mutex_);
         if (uri.getPath() == "/standin") {
-            control(*body);
+            handleControl(*body);
             sendJson(response, HTTPServerResponse::HTTP_OK, JsonObject());
             return;
         }
         ++calls_;
         response.set("Store-Era", std::to_string(era_));
-        hangIfTold(lock);
-        if (status_ != 0) {
-            sendJson(response, status_, JsonObject());
+        failIfHanging(lock);
+        if (forcedStatus_ != 0) {
+            sendJson(response, forcedStatus_, JsonObject());
         } else if (uri.getPath() == "/api/kv-range") {
-            sendJson(response, HTTPServerResponse::HTTP_OK, range(query["after"]));
+            sendJson(response, HTTPServerResponse::HTTP_OK, readPage(query["after"]));
         } else if (uri.getPath() == "/api/kv-watch") {
-            watch(lock, query, response);
+            handleWatch(lock, query, response);
         } else if (uri.getPath() == "/api/kv-lease") {
             JsonObject lease;
             lease.set("lease", ++lastLease_);
             lease.set("ttl_ms", body->getValue<std::int64_t>("ttl_ms"));
             sendJson(response, HTTPServerResponse::HTTP_OK, lease);
         } else if (uri.getPath() == "/api/kv-txn") {
-            write(*body, response);
+            handleWrite(*body, response);
         } else {
             sendJson(response, HTTPServerResponse::HTTP_NOT_FOUND, JsonObject());
         }
@@ -85,20 +86,20 @@
         JsonObject event;
     };
 
-    /// A call that was taken while the store hangs ends without an answer once the store is well.
-    void hangIfTold(std::unique_lock<std::mutex> &lock)
+    /// Blocks while the store hangs, then throws, so that the call ends without an answer.
+    void failIfHanging(std::unique_lock<std::mutex> &lock)
     {
-        if (!hanging_) {
+        if (!isHanging_) {
             return;
         }
-        changed_.wait(lock, [&] { return !hanging_; });
+        changed_.wait(lock, [&] { return !isHanging_; });
         throw Poco::Net::NetException("never answered");
     }
 
-    void control(const JsonObject &body)
+    void handleControl(const JsonObject &body)
     {
-        status_ = option<int>(body, "status", status_);
-        hanging_ = option(body, "hang", hanging_);
+        forcedStatus_ = fieldOr<int>(body, "status", forcedStatus_);
+        isHanging_ = fieldOr(body, "hang", isHanging_);
         const auto puts = body.getArray("puts");
         for (std::size_t i = 0; puts && i < puts->size(); ++i) {
             const auto put = puts->getObject(static_cast<unsigned>(i));
@@ -120,23 +121,23 @@
             event.set("tombstone", true);
             history_.push_back({revision_, event});
         }
-        if (option(body, "copy", false)) {
-            copy_ = {revision_, items_, history_};
+        if (fieldOr(body, "copy", false)) {
+            savedCopy_ = {revision_, items_, history_};
         }
-        if (option(body, "restore", false)) {
-            std::tie(revision_, items_, history_) = copy_;
+        if (fieldOr(body, "restore", false)) {
+            std::tie(revision_, items_, history_) = savedCopy_;
             lastLease_ = 0;
             ++era_;
         }
-        if (option(body, "forget", false)) {
+        if (fieldOr(body, "forget", false)) {
             history_.clear();
-            forgotten_ = ++revision_;
+            discardedRevision_ = ++revision_;
         }
         changed_.notify_all();
     }
 
-    /// Without conditions, and without the end of leases.
-    void write(const JsonObject &body, HTTPServerResponse &response)
+    /// Writes the items. Conditions and lease expiry are not implemented.
+    void handleWrite(const JsonObject &body, HTTPServerResponse &response)
     {
         const auto puts = body.getArray("puts");
         for (std::size_t i = 0; puts && i < puts->size(); ++i) {
@@ -152,17 +153,17 @@
             items_[item.getValue<std::string>("key")] = item;
             history_.push_back({revision_, item});
         }
-        JsonObject told;
-        told.set("revision", revision_);
-        sendJson(response, HTTPServerResponse::HTTP_OK, told);
+        JsonObject reply;
+        reply.set("revision", revision_);
+        sendJson(response, HTTPServerResponse::HTTP_OK, reply);
         changed_.notify_all();
     }
 
-    JsonObject range(const std::string &after)
+    JsonObject readPage(const std::string &after)
     {
         Array items;
         auto it = after.empty() ? items_.begin() : items_.upper_bound(after);
-        for (; it != items_.end() && items.size() < page_; ++it) {
+        for (; it != items_.end() && items.size() < pageSize_; ++it) {
             items.add(it->second);
         }
         JsonObject result;
@@ -172,20 +173,22 @@
         return result;
     }
 
-    void watch(std::unique_lock<std::mutex> &lock, std::map<std::string, std::string> &query,
-               HTTPServerResponse &response)
+    void handleWatch(std::unique_lock<std::mutex> &lock, std::map<std::string, std::string> &query,
+                     HTTPServerResponse &response)
     {
         const auto after = std::stoll(query["after"]);
-        const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(std::stoll(query["wait_ms"]));
+        const auto deadline =
+            std::chrono::steady_clock::now() + std::chrono::milliseconds(std::stoll(query["wait_ms"]));
         const auto era = era_;
-        changed_.wait_until(lock, until, [&] { return revision_ > after || status_ != 0 || hanging_ || era_ != era; });
-        hangIfTold(lock);
+        changed_.wait_until(lock, deadline,
+                            [&] { return revision_ > after || forcedStatus_ != 0 || isHanging_ || era_ != era; });
+        failIfHanging(lock);
         response.set("Store-Era", std::to_string(era_));
-        if (status_ != 0) {
-            sendJson(response, status_, JsonObject());
+        if (forcedStatus_ != 0) {
+            sendJson(response, forcedStatus_, JsonObject());
             return;
         }
-        if (after < forgotten_ || after > revision_) {
+        if (after < discardedRevision_ || after > revision_) {
             sendJson(response, HTTPServerResponse::HTTP_GONE, JsonObject());
             return;
         }
@@ -203,15 +206,15 @@
 
     std::mutex mutex_; // guards all below
     std::condition_variable changed_;
-    std::size_t page_;
+    std::size_t pageSize_;
     std::int64_t revision_ = 1;
-    std::int64_t forgotten_ = 0; // changes up to here are no longer told
+    std::int64_t discardedRevision_ = 0; // the history starts after this revision
     std::map<std::string, JsonObject> items_;
     std::vector<Change> history_;
-    std::int64_t era_ = 1; // rises with each restore
-    std::tuple<std::int64_t, std::map<std::string, JsonObject>, std::vector<Change>> copy_;
-    int status_ = 0;
-    bool hanging_ = false;
+    std::int64_t era_ = 1; // incremented by each restore
+    std::tuple<std::int64_t, std::map<std::string, JsonObject>, std::vector<Change>> savedCopy_;
+    int forcedStatus_ = 0;
+    bool isHanging_ = false;
     std::uint64_t calls_ = 0;
     std::int64_t lastLease_ = 0;
 };
@@ -220,7 +223,7 @@
 
 void siteStoreOptions(cxxopts::Options &options)
 {
-    options.add_options()("page", "items of a page", cxxopts::value<unsigned>()->default_value("3"));
+    options.add_options()("page", "number of items in a page", cxxopts::value<unsigned>()->default_value("3"));
 }
 
 int runSiteStore(const cxxopts::ParseResult &options)
--- a/tests/standins/subcommands.h
+++ b/tests/standins/subcommands.h
@@ -1,5 +1,5 @@
-// The subcommands of the program `standins`. The stand-ins serve until SIGTERM; the
-// caller ends with its calls.
+// Options and main functions of the subcommands of the program standins. Stand-ins serve until SIGTERM; the caller
+// exits after its calls.
 #pragma once
 
 namespace cxxopts {
--- a/tests/standins/vm_list.cpp
+++ b/tests/standins/vm_list.cpp
@@ -1,5 +1,5 @@
-// The platform's list of VMs, with lag: GET /vms prints it as it was some time ago. POST /standin sets {"vms": [...]}
-// (the whole list), {"vm": {...}} (one line, by name) or {"lagMs"}.
+// Stand-in for the platform's list of VMs. GET /vms returns the list with a lag. POST /standin sets {"vms": [...]} (the
+// whole list), {"vm": {...}} (one VM, by name) or {"lagMs"}.
 #include "http_host.h"
 #include "subcommands.h"
 
@@ -27,60 +27,60 @@
         const auto body = readJson(request);
         const std::scoped_lock lock(mutex_);
         if (request.getURI() == "/standin") {
-            lag_ = std::chrono::milliseconds(option<Poco::Int64>(*body, "lagMs", lag_.count()));
-            change(*body);
+            lag_ = std::chrono::milliseconds(fieldOr<Poco::Int64>(*body, "lagMs", lag_.count()));
+            applyChange(*body);
         }
-        sendText(response, HTTPServerResponse::HTTP_OK, "application/json", visible());
+        sendText(response, HTTPServerResponse::HTTP_OK, "application/json", visibleList());
     }
 
 private:
-    struct Version
+    struct Snapshot
     {
-        Clock::time_point at;
+        Clock::time_point publishedAt;
         std::string text;
     };
 
-    void change(const JsonObject &body)
+    void applyChange(const JsonObject &body)
     {
         if (body.has("vms")) {
-            vms_ = body.getArray("vms");
+            currentVms_ = body.getArray("vms");
         } else if (body.has("vm")) {
             const auto changed = body.getObject("vm");
             Poco::JSON::Array::Ptr next = new Poco::JSON::Array;
-            for (std::size_t i = 0; i < vms_->size(); ++i) {
-                const auto vm = vms_->getObject(static_cast<unsigned>(i));
+            for (std::size_t i = 0; i < currentVms_->size(); ++i) {
+                const auto vm = currentVms_->getObject(static_cast<unsigned>(i));
                 if (vm->getValue<std::string>("name") != changed->getValue<std::string>("name")) {
                     next->add(vm);
                 }
             }
             next->add(changed);
-            vms_ = next;
+            currentVms_ = next;
         } else {
             return;
         }
         JsonObject object;
-        object.set("vms", vms_);
-        versions_.push_back({Clock::now(), print(object)});
+        object.set("vms", currentVms_);
+        snapshots_.push_back({Clock::now(), toJsonText(object)});
     }
 
-    std::string visible()
+    std::string visibleList()
     {
-        while (versions_.size() > 1 && versions_[1].at + lag_ <= Clock::now()) {
-            versions_.pop_front();
+        while (snapshots_.size() > 1 && snapshots_[1].publishedAt + lag_ <= Clock::now()) {
+            snapshots_.pop_front();
         }
-        return versions_.empty() ? "{\"vms\":[]}" : versions_.front().text;
+        return snapshots_.empty() ? "{\"vms\":[]}" : snapshots_.front().text;
     }
 
     std::mutex mutex_; // guards all below
     std::chrono::milliseconds lag_;
-    Poco::JSON::Array::Ptr vms_ = new Poco::JSON::Array;
-    std::deque<Version> versions_; // the first is the one that is shown
+    Poco::JSON::Array::Ptr currentVms_ = new Poco::JSON::Array;
+    std::deque<Snapshot> snapshots_; // the first one is served
 };
 } // namespace
 
 void vmListOptions(cxxopts::Options &options)
 {
-    options.add_options()("lag-ms", "age of what is shown", cxxopts::value<unsigned>()->default_value("0"));
+    options.add_options()("lag-ms", "lag of the list in milliseconds", cxxopts::value<unsigned>()->default_value("0"));
 }
 
 int runVmList(const cxxopts::ParseResult &options)
--- a/tests/standins/weight_store.cpp
+++ b/tests/standins/weight_store.cpp
@@ -1,6 +1,6 @@
-// The weight store: POST /load {"name"} answers when the load is through. Its rate is shared by the loads that run at
-// once, with a loss for each further one, so that one at a time is fastest. POST /standin sets {"rate", "penalty",
-// "failNext", "failName", "outage"}; GET /standin/record prints how many loads there were and how many at once.
+// Stand-in for the weight store. POST /load {"name"} answers when the load completes; concurrent loads share the rate,
+// which each further one reduces. POST /standin sets {"rate", "penalty", "failNext", "failName", "outage"}, GET
+// /standin/record returns the number of loads and the maximum concurrency.
 #include "http_host.h"
 #include "subcommands.h"
 
@@ -13,14 +13,14 @@
 namespace standins {
 
 namespace {
-constexpr std::chrono::milliseconds step(2);
+constexpr std::chrono::milliseconds progressInterval(2);
 
 class WeightStoreHost
 {
 public:
     explicit WeightStoreHost(const cxxopts::ParseResult &options)
         : rate_(options["rate"].as<double>())
-        , penalty_(options["penalty"].as<double>())
+        , concurrencyPenalty_(options["penalty"].as<double>())
     {
     }
 
@@ -29,26 +29,26 @@
         const std::string path = request.getURI();
         const auto body = readJson(request);
         if (path == "/load") {
-            load(option<std::string>(*body, "name", ""), response);
+            handleLoad(fieldOr<std::string>(*body, "name", ""), response);
             return;
         }
         const std::scoped_lock lock(mutex_);
         if (path == "/standin") {
-            rate_ = option<double>(*body, "rate", rate_);
-            penalty_ = option<double>(*body, "penalty", penalty_);
-            failNext_ = option<Poco::UInt64>(*body, "failNext", failNext_);
-            failName_ = option<std::string>(*body, "failName", failName_);
-            outage_ = option<bool>(*body, "outage", outage_);
+            rate_ = fieldOr<double>(*body, "rate", rate_);
+            concurrencyPenalty_ = fieldOr<double>(*body, "penalty", concurrencyPenalty_);
+            failNext_ = fieldOr<Poco::UInt64>(*body, "failNext", failNext_);
+            failName_ = fieldOr<std::string>(*body, "failName", failName_);
+            outage_ = fieldOr<bool>(*body, "outage", outage_);
         }
         JsonObject object;
-        object.set("loads", loads_);
-        object.set("failed", failed_);
-        object.set("mostAtOnce", mostAtOnce_);
+        object.set("loads", completedLoads_);
+        object.set("failed", failedLoads_);
+        object.set("mostAtOnce", maxConcurrentLoads_);
         sendJson(response, HTTPServerResponse::HTTP_OK, object);
     }
 
 private:
-    bool refuses(const std::string &name)
+    bool shouldFail(const std::string &name)
     {
         if (failNext_ > 0) {
             --failNext_;
@@ -57,50 +57,51 @@
         return outage_ || (!failName_.empty() && name == failName_);
     }
 
-    void load(const std::string &name, HTTPServerResponse &response)
+    void handleLoad(const std::string &name, HTTPServerResponse &response)
     {
         std::unique_lock lock(mutex_);
-        if (refuses(name)) {
-            ++failed_;
+        if (shouldFail(name)) {
+            ++failedLoads_;
             lock.unlock();
             sendText(response, HTTPServerResponse::HTTP_SERVICE_UNAVAILABLE, "text/plain", "no weights\n");
             return;
         }
-        mostAtOnce_ = std::max(mostAtOnce_, ++running_);
-        double left = 1.0; // of one load
-        auto last = std::chrono::steady_clock::now();
-        while (left > 0.0) {
-            const double share = rate_ / (running_ * (1.0 + penalty_ * static_cast<double>(running_ - 1)));
+        maxConcurrentLoads_ = std::max(maxConcurrentLoads_, ++activeLoads_);
+        double remainingFraction = 1.0; // fraction of this load
+        auto lastUpdate = std::chrono::steady_clock::now();
+        while (remainingFraction > 0.0) {
+            const double loadsPerSecond =
+                rate_ / (activeLoads_ * (1.0 + concurrencyPenalty_ * static_cast<double>(activeLoads_ - 1)));
             lock.unlock();
-            std::this_thread::sleep_for(step);
+            std::this_thread::sleep_for(progressInterval);
             lock.lock();
             const auto now = std::chrono::steady_clock::now();
-            left -= share * std::chrono::duration<double>(now - last).count();
-            last = now;
+            remainingFraction -= loadsPerSecond * std::chrono::duration<double>(now - lastUpdate).count();
+            lastUpdate = now;
         }
-        --running_;
-        ++loads_;
+        --activeLoads_;
+        ++completedLoads_;
         lock.unlock();
         sendJson(response, HTTPServerResponse::HTTP_OK, JsonObject());
     }
 
     std::mutex mutex_; // guards all below
     double rate_;
-    double penalty_;
+    double concurrencyPenalty_;
     std::uint64_t failNext_ = 0;
     std::string failName_;
     bool outage_ = false;
-    unsigned running_ = 0;
-    unsigned mostAtOnce_ = 0;
-    std::uint64_t loads_ = 0;
-    std::uint64_t failed_ = 0;
+    unsigned activeLoads_ = 0;
+    unsigned maxConcurrentLoads_ = 0;
+    std::uint64_t completedLoads_ = 0;
+    std::uint64_t failedLoads_ = 0;
 };
 } // namespace
 
 void weightStoreOptions(cxxopts::Options &options)
 {
-    options.add_options()("rate", "loads a second, one at a time", cxxopts::value<double>()->default_value("4"))(
-        "penalty", "loss of rate for each further load at once", cxxopts::value<double>()->default_value("0.1"));
+    options.add_options()("rate", "loads per second without concurrency", cxxopts::value<double>()->default_value("4"))(
+        "penalty", "loss of rate for each further concurrent load", cxxopts::value<double>()->default_value("0.1"));
 }
 
 int runWeightStore(const cxxopts::ParseResult &options)
