--- a/tests/process/bad_input_test.cpp
+++ b/tests/process/bad_input_test.cpp
@@ -1,4 +1,4 @@
-// What callers send wrongly: each gets a clear 4xx in the one error form, and nothing of it is left behind.
+// Malformed and oversized requests at an entry: each is answered with a typed error and leaves no state behind.
 #include "fleet.h"
 
 #include <Poco/Net/StreamSocket.h>
@@ -8,10 +8,10 @@
 
 using namespace fleet;
 
-constexpr unsigned bodyLimit = 65536;
+constexpr unsigned maxBodyBytes = 65536;
 
-/// Sends bytes as they are and reads until the entry closes, or an answer's end by Content-Length has come.
-std::string exchange(unsigned port, const std::string &bytes)
+/// Sends raw bytes and returns everything received until the entry closes the connection or the read times out.
+std::string sendRaw(unsigned port, const std::string &bytes)
 {
     Poco::Net::StreamSocket socket(Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(port)));
     socket.setReceiveTimeout(Poco::Timespan(10, 0));
@@ -23,34 +23,34 @@
                 static_cast<std::size_t>(socket.sendBytes(bytes.data() + sent, static_cast<int>(bytes.size() - sent)));
         }
         socket.shutdownSend();
-    } catch (const Poco::Exception &) { // NOLINT(bugprone-empty-catch): the answer may have come before the end
+    } catch (const Poco::Exception &) { // NOLINT(bugprone-empty-catch): the entry may close early
     }
     try {
         std::array<char, 4096> buffer{};
-        for (int got = 1; got > 0;) {
-            got = socket.receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
-            answer.append(buffer.data(), static_cast<std::size_t>(std::max(got, 0)));
+        for (int received = 1; received > 0;) {
+            received = socket.receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
+            answer.append(buffer.data(), static_cast<std::size_t>(std::max(received, 0)));
         }
-    } catch (const Poco::Exception &) { // NOLINT(bugprone-empty-catch): what was read is judged
+    } catch (const Poco::Exception &) { // NOLINT(bugprone-empty-catch): the bytes read so far are checked
     }
     return answer;
 }
 
-std::string post(const std::string &path, const std::string &body, const std::string &headers = {})
+std::string postRequest(const std::string &path, const std::string &body, const std::string &headers = {})
 {
     return "POST " + path + " HTTP/1.1\r\nHost: e\r\nConnection: close\r\n" + headers
            + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-struct Case
+struct BadRequest
 {
-    std::string what;
+    std::string description;
     std::string bytes;
     int status;
     std::string type = "bad_request";
 };
 
-std::vector<Case> cases()
+std::vector<BadRequest> badRequests()
 {
     const std::string model = "/v1/completions";
     const std::string good = R"({"model":"route-0","prompt":"x"})";
@@ -75,35 +75,35 @@
          400},
         {"length is no number", "POST /v1/completions HTTP/1.1\r\nHost: e\r\nContent-Length: -1\r\n\r\n", 400},
         {"other encoding", "POST /v1/completions HTTP/1.1\r\nHost: e\r\nTransfer-Encoding: gzip\r\n\r\n", 501},
-        {"unknown expectation", post(model, good, "Expect: a-miracle\r\n"), 417},
+        {"unknown expectation", postRequest(model, good, "Expect: a-miracle\r\n"), 417},
         {"chunk size is no number", chunked + "zz\r\nab\r\n0\r\n\r\n", 400},
         {"chunk longer than said", chunked + "1\r\nabc\r\n0\r\n\r\n", 400},
-        {"body over the limit", post(model, std::string(bodyLimit + 1, ' ')), 413},
+        {"body over the limit", postRequest(model, std::string(maxBodyBytes + 1, ' ')), 413},
         {"chunks over the limit", chunked + "20000\r\n" + std::string(0x20000, ' ') + "\r\n0\r\n\r\n", 413},
-        {"empty body", post(model, ""), 400},
-        {"not JSON", post(model, "{model"), 400},
-        {"cut JSON", post(model, R"({"model":"route-0")"), 400},
-        {"two values", post(model, good + good), 400},
-        {"a list", post(model, R"(["model"])"), 400},
-        {"a number", post(model, "17"), 400},
-        {"not UTF-8", post(model, "{\"model\":\"route-0\",\"prompt\":\"\xff\xfe\"}"), 400},
-        {"overlong UTF-8", post(model, "{\"model\":\"route-0\",\"prompt\":\"\xc0\xaf\"}"), 400},
-        {"surrogate in UTF-8", post(model, "{\"model\":\"route-0\",\"prompt\":\"\xed\xa0\x80\"}"), 400},
-        {"cut UTF-8", post(model, "{\"model\":\"route-0\",\"prompt\":\"\xe2\x82\"}"), 400},
-        {"too deep", post(model, deep), 400},
-        {"very deep", post(model, std::string(30000, '[')), 400},
-        {"no model", post(model, R"({"prompt":"x"})"), 400},
-        {"empty model", post(model, R"({"model":"","prompt":"x"})"), 400},
-        {"model is a number", post(model, R"({"model":7,"prompt":"x"})"), 400},
-        {"model is null", post(model, R"({"model":null,"prompt":"x"})"), 400},
-        {"model is an object", post(model, R"({"model":{"a":1},"prompt":"x"})"), 400},
-        {"model twice", post(model, R"({"model":"route-0","model":"route-1","prompt":"x"})"), 400},
-        {"model twice, escaped", post(model, R"({"model":"route-0","mod\u0065l":"route-1","prompt":"x"})"), 400},
-        {"priority escaped", post(model, R"({"model":"route-0","priorit\u0079":0,"prompt":"x"})"), 400},
-        {"stream is text", post(model, R"({"model":"route-0","stream":"yes"})"), 400},
-        {"negative max_tokens", post(model, R"({"model":"route-0","max_tokens":-1})"), 400},
-        {"deadline is no number", post(model, good, "X-Deadline-Ms: soon\r\n"), 400},
-        {"deadline is zero", post(model, good, "X-Deadline-Ms: 0\r\n"), 400},
+        {"empty body", postRequest(model, ""), 400},
+        {"not JSON", postRequest(model, "{model"), 400},
+        {"cut JSON", postRequest(model, R"({"model":"route-0")"), 400},
+        {"two values", postRequest(model, good + good), 400},
+        {"a list", postRequest(model, R"(["model"])"), 400},
+        {"a number", postRequest(model, "17"), 400},
+        {"not UTF-8", postRequest(model, "{\"model\":\"route-0\",\"prompt\":\"\xff\xfe\"}"), 400},
+        {"overlong UTF-8", postRequest(model, "{\"model\":\"route-0\",\"prompt\":\"\xc0\xaf\"}"), 400},
+        {"surrogate in UTF-8", postRequest(model, "{\"model\":\"route-0\",\"prompt\":\"\xed\xa0\x80\"}"), 400},
+        {"cut UTF-8", postRequest(model, "{\"model\":\"route-0\",\"prompt\":\"\xe2\x82\"}"), 400},
+        {"too deep", postRequest(model, deep), 400},
+        {"very deep", postRequest(model, std::string(30000, '[')), 400},
+        {"no model", postRequest(model, R"({"prompt":"x"})"), 400},
+        {"empty model", postRequest(model, R"({"model":"","prompt":"x"})"), 400},
+        {"model is a number", postRequest(model, R"({"model":7,"prompt":"x"})"), 400},
+        {"model is null", postRequest(model, R"({"model":null,"prompt":"x"})"), 400},
+        {"model is an object", postRequest(model, R"({"model":{"a":1},"prompt":"x"})"), 400},
+        {"model twice", postRequest(model, R"({"model":"route-0","model":"route-1","prompt":"x"})"), 400},
+        {"model twice, escaped", postRequest(model, R"({"model":"route-0","mod\u0065l":"route-1","prompt":"x"})"), 400},
+        {"priority escaped", postRequest(model, R"({"model":"route-0","priorit\u0079":0,"prompt":"x"})"), 400},
+        {"stream is text", postRequest(model, R"({"model":"route-0","stream":"yes"})"), 400},
+        {"negative max_tokens", postRequest(model, R"({"model":"route-0","max_tokens":-1})"), 400},
+        {"deadline is no number", postRequest(model, good, "X-Deadline-Ms: soon\r\n"), 400},
+        {"deadline is zero", postRequest(model, good, "X-Deadline-Ms: 0\r\n"), 400},
         {"wrong method", "GET /v1/completions HTTP/1.1\r\nHost: e\r\nConnection: close\r\n\r\n", 405},
         {"no such path", "GET /v2/things HTTP/1.1\r\nHost: e\r\nConnection: close\r\n\r\n", 404},
         {"no service named", "GET /v1/services/ HTTP/1.1\r\nHost: e\r\nConnection: close\r\n\r\n", 404},
@@ -118,7 +118,7 @@
         ASSERT_NE(fleet_.configureRoutes(2), 0U);
         fleet_.startEntry("entry-1", R"("bodyLimitBytes":65536,"headerTimeoutMs":300,"bodyTimeoutMs":300,)"
                                      R"("connectionLimit":40)");
-        fleet_.publish();
+        fleet_.publishVmList();
         ASSERT_TRUE(eventually([&] { return request(port(), "GET", "/readyz").status == 200; }));
     }
     unsigned port()
@@ -129,15 +129,15 @@
     Fleet fleet_;
 };
 
-TEST_F(BadInput, EachIsAnsweredByAClearErrorAndLeavesNoTrace)
+TEST_F(BadInput, EachGetsATypedErrorAndLeavesNoState)
 {
-    for (const auto &each : cases()) {
-        const auto answer = exchange(port(), each.bytes);
-        ASSERT_TRUE(answer.starts_with("HTTP/1.1 ")) << each.what << ": " << answer;
-        EXPECT_EQ(std::stoi(answer.substr(9)), each.status) << each.what << ": " << answer;
+    for (const auto &badRequest : badRequests()) {
+        const auto answer = sendRaw(port(), badRequest.bytes);
+        ASSERT_TRUE(answer.starts_with("HTTP/1.1 ")) << badRequest.description << ": " << answer;
+        EXPECT_EQ(std::stoi(answer.substr(9)), badRequest.status) << badRequest.description << ": " << answer;
         const auto body = answer.substr(std::min(answer.find("\r\n\r\n"), answer.size() - 4) + 4);
-        EXPECT_EQ(errorField(body, "type"), each.type) << each.what << ": " << answer;
-        EXPECT_EQ(errorField(body, "verdict"), "not_run") << each.what;
+        EXPECT_EQ(errorField(body, "type"), badRequest.type) << badRequest.description << ": " << answer;
+        EXPECT_EQ(errorField(body, "verdict"), "not_run") << badRequest.description;
     }
     EXPECT_EQ(fleet_.metric("entry-1", "anvilscale_calls_total"), 0);
     EXPECT_EQ(fleet_.metric("entry-1", "anvilscale_calls_open"), 0);
@@ -145,8 +145,7 @@
     EXPECT_EQ(request(port(), "GET", "/healthz").status, 200);
 }
 
-// A caller that opens a connection and sends its head, or its body, one byte at a time holds a connection only as
-// long as the time limits say.
+// Guards against slow senders that hold connections beyond the header and body timeouts.
 TEST_F(BadInput, SlowSendersAreCutOff)
 {
     Poco::Net::StreamSocket head(Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(port())));
@@ -158,14 +157,13 @@
     for (auto *socket : {&head, &body}) {
         socket->setReceiveTimeout(Poco::Timespan(10, 0));
         std::array<char, 512> buffer{};
-        const int got = socket->receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
-        ASSERT_GT(got, 0);
+        const int received = socket->receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
+        ASSERT_GT(received, 0);
         EXPECT_TRUE(std::string_view(buffer.data()).starts_with("HTTP/1.1 408"));
     }
 }
 
-// More connections than allowed: the ones over the limit are refused in the error form with a time to come back,
-// and the first of them are served as before.
+// Guards against connections beyond the limit: they are refused with a typed error and Retry-After.
 TEST_F(BadInput, ConnectionsOverTheLimitAreRefused)
 {
     std::vector<Poco::Net::StreamSocket> open;
@@ -182,7 +180,7 @@
     EXPECT_TRUE(eventually([&] { return request(port(), "GET", "/healthz").status == 200; }));
 }
 
-TEST_F(BadInput, RequestsSentAheadAreAnsweredInOrder)
+TEST_F(BadInput, PipelinedRequestsAreAnsweredInOrder)
 {
     const std::string one = "GET /healthz HTTP/1.1\r\nHost: e\r\n\r\n";
     const std::string other = "GET /v2/nothing HTTP/1.1\r\nHost: e\r\n\r\n";
@@ -193,9 +191,9 @@
     socket.sendBytes(all.data(), static_cast<int>(all.size()));
     std::string answer;
     std::array<char, 4096> buffer{};
-    for (int got = 1; got > 0;) {
-        got = socket.receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
-        answer.append(buffer.data(), static_cast<std::size_t>(std::max(got, 0)));
+    for (int received = 1; received > 0;) {
+        received = socket.receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
+        answer.append(buffer.data(), static_cast<std::size_t>(std::max(received, 0)));
     }
     const auto healthy = answer.find("healthy");
     const auto nothing = answer.find("nothing at this path");
@@ -205,7 +203,7 @@
     EXPECT_LT(nothing, ready);
 }
 
-TEST_F(BadInput, ExpectedContinueComesBeforeTheBody)
+TEST_F(BadInput, ContinueIsSentBeforeTheBody)
 {
     Poco::Net::StreamSocket socket(Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(port())));
     socket.setReceiveTimeout(Poco::Timespan(10, 0));
--- a/tests/process/child_process.h
+++ b/tests/process/child_process.h
@@ -1,4 +1,4 @@
-// Processes that a test starts, and waits for what they do.
+// Child processes of a test, and polling for conditions.
 #pragma once
 
 #include <fcntl.h>
@@ -17,8 +17,8 @@
 
 namespace fleet {
 
-constexpr auto longWait = std::chrono::seconds(30); // bound of waits that end long before when all is well
-constexpr auto pollStep = std::chrono::milliseconds(10);
+constexpr auto maxWait = std::chrono::seconds(30); // well above the duration of any successful wait
+constexpr auto pollInterval = std::chrono::milliseconds(10);
 
 inline std::string buildFolder()
 {
@@ -26,20 +26,21 @@
     return folder == nullptr ? "build" : folder;
 }
 
-/// Polls until `condition` holds; false if it does not within the bound.
+/// Polls until `condition` returns true. Returns false if it does not within the bound.
 template<class Condition>
-bool eventually(Condition condition, std::chrono::milliseconds bound = longWait)
+bool eventually(Condition condition, std::chrono::milliseconds timeout = maxWait)
 {
-    const auto end = std::chrono::steady_clock::now() + bound;
+    const auto end = std::chrono::steady_clock::now() + timeout;
     while (std::chrono::steady_clock::now() < end) {
         if (condition()) {
             return true;
         }
-        std::this_thread::sleep_for(pollStep);
+        std::this_thread::sleep_for(pollInterval);
     }
     return condition();
 }
 
+/// A child process, killed on destruction. Its output is appended to a file.
 class Process
 {
 public:
@@ -53,20 +54,20 @@
         arguments.push_back(nullptr);
         pid_ = ::fork();
         if (pid_ == 0) {
-            ::prctl(PR_SET_PDEATHSIG, SIGKILL); // a test that crashes leaves nothing behind
+            ::prctl(PR_SET_PDEATHSIG, SIGKILL); // prevents orphans if the test crashes
             const int file = ::open(errorFile.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
             ::dup2(file, STDERR_FILENO);
             ::dup2(file, STDOUT_FILENO);
-            sigset_t none;
-            sigemptyset(&none);
-            ::sigprocmask(SIG_SETMASK, &none, nullptr);
+            sigset_t emptySet;
+            sigemptyset(&emptySet);
+            ::sigprocmask(SIG_SETMASK, &emptySet, nullptr);
             ::execv(arguments[0], arguments.data());
             ::_exit(127);
         }
     }
     ~Process()
     {
-        if (running()) {
+        if (isRunning()) {
             ::kill(pid_, SIGCONT);
             ::kill(pid_, SIGKILL);
             wait();
@@ -83,28 +84,28 @@
     {
         return pid_;
     }
-    bool running()
+    bool isRunning()
     {
-        if (exit_) {
+        if (exitStatus_) {
             return false;
         }
         int status = 0;
         if (::waitpid(pid_, &status, WNOHANG) == pid_) {
-            exit_ = status;
+            exitStatus_ = status;
         }
-        return !exit_;
+        return !exitStatus_;
     }
-    /// Exit code; 128 and the signal if one ended it.
+    /// Waits for the exit. Returns the exit code, or 128 plus the number of the signal that terminated the process.
     int wait()
     {
-        if (!exit_) {
+        if (!exitStatus_) {
             int status = 0;
             ::waitpid(pid_, &status, 0);
-            exit_ = status;
+            exitStatus_ = status;
         }
-        return WIFEXITED(*exit_) ? WEXITSTATUS(*exit_) : 128 + WTERMSIG(*exit_);
+        return WIFEXITED(*exitStatus_) ? WEXITSTATUS(*exitStatus_) : 128 + WTERMSIG(*exitStatus_);
     }
-    /// Resident memory in kilobytes.
+    /// Resident memory in kilobytes, 0 if the process has exited.
     std::uint64_t residentKb() const
     {
         std::ifstream status("/proc/" + std::to_string(pid_) + "/status");
@@ -119,7 +120,7 @@
 
 private:
     pid_t pid_ = -1;
-    std::optional<int> exit_;
+    std::optional<int> exitStatus_;
 };
 
 } // namespace fleet
--- a/tests/process/configurator.h
+++ b/tests/process/configurator.h
@@ -17,13 +17,13 @@
 
 using namespace anvilscale; // NOLINT(google-build-using-namespace): test code
 
-/// Writes records through the real key-value adapter, as the operators' tool does.
+/// Writes configuration records through the real key-value adapter, as the operators' tool does.
 class Configurator
 {
 public:
     explicit Configurator(unsigned keyValuePort)
         : gateway_({{"http://127.0.0.1:" + std::to_string(keyValuePort)}, Seconds(2), 1000.0},
-                   [this](KvReply reply) { add(std::move(reply)); })
+                   [this](KvReply reply) { addReply(std::move(reply)); })
     {
     }
     ~Configurator()
@@ -33,7 +33,7 @@
     Configurator(const Configurator &) = delete;
     Configurator &operator=(const Configurator &) = delete;
 
-    /// Revision that the records made; 0 if they were refused.
+    /// Returns the revision created by the records, or 0 if they were rejected.
     std::uint64_t apply(const std::vector<std::string> &records)
     {
         std::vector<config::Change> changes;
@@ -54,7 +54,7 @@
         ConfigWriter writer(
             init, [this](KvRequest request) { gateway_.submit(std::move(request)); },
             [&](const ConfigWriter::Result &result, Now) { revision = result.value_or(0); });
-        writer.apply(std::move(changes), "change-" + std::to_string(++changes_), std::nullopt, readClocks());
+        writer.apply(std::move(changes), "change-" + std::to_string(++changeCount_), std::nullopt, readClocks());
         eventually([&] {
             std::deque<KvReply> replies;
             {
@@ -71,7 +71,7 @@
     }
 
 private:
-    void add(KvReply reply)
+    void addReply(KvReply reply)
     {
         const std::lock_guard lock(mutex_);
         replies_.push_back(std::move(reply));
@@ -81,7 +81,7 @@
     TimerService timers_;
     std::mutex mutex_;
     std::deque<KvReply> replies_;
-    std::uint64_t changes_ = 0;
+    std::uint64_t changeCount_ = 0;
     EtcdGateway gateway_;
 };
 
--- a/tests/process/direct_fleet.h
+++ b/tests/process/direct_fleet.h
@@ -1,5 +1,5 @@
-// The direct path as separate processes: entries, a sidecar beside an engine and plain endpoints, with stand-ins of the
-// users' platform.
+// Test fixture of the direct path with real processes: entries, a sidecar, and stand-ins of the store and the
+// endpoints.
 #pragma once
 
 #include "fleet.h"
@@ -12,29 +12,30 @@
 
 namespace fleet {
 
-constexpr auto sidecarAddress = "127.0.0.2"; // the sidecar takes the entry's control port on another number
+constexpr auto sidecarAddress = "127.0.0.2"; // the sidecar uses the entry's control port on another address
 
+/// One entry, a sidecar with an engine, and two plain endpoints.
 class Direct : public testing::Test
 {
 protected:
     Direct()
     {
-        store_ = fleet_.startStandin("site-store", {});
-        engine_ =
+        storePort_ = fleet_.startStandin("site-store", {});
+        enginePort_ =
             fleet_.startStandin("site-replica", {"--id", "e-1", "--slots", "2", "--address", sidecarAddress}, "engine");
-        plain_[0] = fleet_.startStandin("site-replica", {"--id", "p-1"}, "plain-1");
-        plain_[1] = fleet_.startStandin("site-replica", {"--id", "p-2"}, "plain-2");
-        put("op/config", config(1, "/n/"));
-        put("servers/e-1", record("engines", std::string(sidecarAddress) + ":" + std::to_string(engine_)));
-        put("servers/p-1", record("plain", "127.0.0.1:" + std::to_string(plain_[0])));
-        put("servers/p-2", record("plain", "127.0.0.1:" + std::to_string(plain_[1])));
+        plainPorts_[0] = fleet_.startStandin("site-replica", {"--id", "p-1"}, "plain-1");
+        plainPorts_[1] = fleet_.startStandin("site-replica", {"--id", "p-2"}, "plain-2");
+        putKey("op/config", config(1, "/n/"));
+        putKey("servers/e-1", record("engines", std::string(sidecarAddress) + ":" + std::to_string(enginePort_)));
+        putKey("servers/p-1", record("plain", "127.0.0.1:" + std::to_string(plainPorts_[0])));
+        putKey("servers/p-2", record("plain", "127.0.0.1:" + std::to_string(plainPorts_[1])));
     }
 
     void start()
     {
         startSidecar();
         startEntry();
-        EXPECT_TRUE(eventually([&] { return ready() == 200; }));
+        EXPECT_TRUE(eventually([&] { return readinessStatus() == 200; }));
     }
     void startEntry()
     {
@@ -46,14 +47,14 @@
         unsigned ready = freePort();
         unsigned metrics = freePort();
     };
-    /// Entries find the sidecar at their own control port, and so differ by their control address.
+    /// Entries connect to the sidecar at their own control port, so several entries need different control addresses.
     void startEntry(const std::string &name, const std::string &controlAddress, const EntryPorts &ports)
     {
         std::ostringstream out;
         out << R"({"role":"direct-entry","name":")" << name << R"(","dataCentre":"dc","control":{"address":")"
             << controlAddress << R"(","port":)" << controlPort_ << R"(},"http":{"at":"127.0.0.1:)" << ports.http
             << R"("},"direct":{"store":)"
-            << R"("http://127.0.0.1:)" << store_ << R"(","ready":{"at":"127.0.0.1:)" << ports.ready
+            << R"("http://127.0.0.1:)" << storePort_ << R"(","ready":{"at":"127.0.0.1:)" << ports.ready
             << R"("},"storePauseMs":50,"graceMs":8000,"metricsPort":)" << ports.metrics << R"(},"log":{"file":"-"}})";
         startDaemon(name, out.str());
     }
@@ -62,7 +63,7 @@
         std::ostringstream out;
         out << R"({"role":"direct-sidecar","name":"side-1","dataCentre":"dc","control":{"address":")" << sidecarAddress
             << R"(","port":)" << controlPort_ << R"(},"direct":{"endpoint":"http://)" << sidecarAddress << ":"
-            << engine_ << R"("},"log":{"file":"-"}})";
+            << enginePort_ << R"("},"log":{"file":"-"}})";
         startDaemon("side-1", out.str());
     }
     void startDaemon(const std::string &name, const std::string &settings)
@@ -71,19 +72,19 @@
         daemons_.erase(name);
         daemons_[name] = std::make_unique<Process>(
             std::vector<std::string>{buildFolder() + "/bin/anvilscaled", "--settings", fleet_.settingsFile(name)},
-            fleet_.log(name));
+            fleet_.logFile(name));
     }
-    std::string logOf(const std::string &name) const
+    std::string readLog(const std::string &name) const
     {
-        std::ifstream in(fleet_.log(name));
+        std::ifstream in(fleet_.logFile(name));
         return {std::istreambuf_iterator<char>(in), {}};
     }
 
-    /// The entry has heard, from the store, that the endpoint leaves.
-    bool knowsThatLeaves(const std::string &id) const
+    /// The entry has logged the store's notification that the endpoint is leaving.
+    bool hasLoggedLeaving(const std::string &id) const
     {
         const std::regex line(R"("endpoint_changed"[^\n]*"endpoint":")" + id + R"("[^\n]*"leaving":true)");
-        return std::regex_search(logOf("entry-1"), line);
+        return std::regex_search(readLog("entry-1"), line);
     }
 
     static std::string config(unsigned version, const std::string &plainPrefix)
@@ -103,7 +104,7 @@
         return R"({"service":")" + service + R"(","address":")" + address + R"(","zone":"dc","version":"v1","slots":4,)"
                + R"("state":")" + state + R"(","cold_left_ms":0,"sequence":1,"models":[]})";
     }
-    void put(const std::string &key, const std::string &value) const
+    void putKey(const std::string &key, const std::string &value) const
     {
         Poco::JSON::Object item;
         item.set("key", key);
@@ -114,14 +115,14 @@
         body.set("puts", puts);
         std::ostringstream text;
         body.stringify(text);
-        tell(store_, text.str());
+        controlStandin(storePort_, text.str());
     }
-    static void tell(unsigned port, const std::string &body, const std::string &address = "127.0.0.1")
+    static void controlStandin(unsigned port, const std::string &body, const std::string &address = "127.0.0.1")
     {
         EXPECT_EQ(requestAt(address, port, "POST", "/standin", body).status, 200);
     }
-    /// How often the endpoint has run the request.
-    static int ran(unsigned port, const std::string &id, const std::string &address = "127.0.0.1")
+    /// Returns how often the endpoint has executed the request.
+    static int executionCount(unsigned port, const std::string &id, const std::string &address = "127.0.0.1")
     {
         const auto list = parse(requestAt(address, port, "GET", "/standin").body)->getArray("ran");
         int count = 0;
@@ -130,9 +131,9 @@
         }
         return count;
     }
-    int ranPlain(const std::string &id) const
+    int plainExecutionCount(const std::string &id) const
     {
-        return ran(plain_[0], id) + ran(plain_[1], id);
+        return executionCount(plainPorts_[0], id) + executionCount(plainPorts_[1], id);
     }
     Answer call(const std::string &path, const std::string &id, const std::string &adapter = {}) const
     {
@@ -144,7 +145,7 @@
         }
         return request(httpPort_, "POST", path, "body " + id, headers);
     }
-    /// All bytes of an answer, up to the end of its connection.
+    /// Returns all bytes of the answer up to the end of the connection.
     std::string rawCall(const std::string &path, const std::string &id, const std::string &adapter) const
     {
         Poco::Net::StreamSocket socket(Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(httpPort_)));
@@ -162,21 +163,21 @@
             bytes.append(buffer.data(), static_cast<std::size_t>(got));
         }
     }
-    int ready() const
+    int readinessStatus() const
     {
         return request(readyPort_, "GET", "/api/readyz").status;
     }
 
     Fleet fleet_;
-    unsigned store_ = 0;
-    unsigned engine_ = 0;
-    std::array<unsigned, 2> plain_{};
+    unsigned storePort_ = 0;
+    unsigned enginePort_ = 0;
+    std::array<unsigned, 2> plainPorts_{};
     unsigned controlPort_ = freePort();
     unsigned httpPort_ = freePort();
     unsigned readyPort_ = freePort();
     unsigned metricsPort_ = freePort();
     std::map<std::string, std::unique_ptr<Process>> daemons_;
-    int probes_ = 0;
+    int probeCount_ = 0;
 };
 
 } // namespace fleet
--- a/tests/process/fleet.h
+++ b/tests/process/fleet.h
@@ -1,5 +1,4 @@
-// Real processes for tests: stand-ins, entries and sidecars on loopback ports given by the system. Everything that a
-// fleet started is ended by its pid when the fleet goes.
+// Test fleet of real processes: stand-ins, entries and sidecars on loopback ports.
 #pragma once
 
 #include "child_process.h"
@@ -20,7 +19,7 @@
 
 namespace fleet {
 
-/// A line of the list of VMs.
+/// An item of the list of VMs.
 struct Vm
 {
     std::string role;
@@ -28,6 +27,7 @@
     unsigned port = 0;
 };
 
+/// Starts processes and terminates them on destruction. Keeps its folder with logs and settings if the test failed.
 class Fleet
 {
 public:
@@ -35,9 +35,9 @@
     {
         std::string pattern = (std::filesystem::temp_directory_path() / "anvilscale-XXXXXX").string();
         folder_ = ::mkdtemp(pattern.data());
-        keyValue = startStandin("key-value", {});
-        vmList = startStandin("vm-list", {});
-        configurator_ = std::make_unique<Configurator>(keyValue);
+        keyValuePort = startStandin("key-value", {});
+        vmListPort = startStandin("vm-list", {});
+        configurator_ = std::make_unique<Configurator>(keyValuePort);
     }
     ~Fleet()
     {
@@ -49,7 +49,7 @@
     Fleet(const Fleet &) = delete;
     Fleet &operator=(const Fleet &) = delete;
 
-    /// Starts a stand-in and returns its port. Its name is `name`, or the kind.
+    /// Starts a stand-in and returns its port. It is named `name`, or after its kind if empty.
     unsigned startStandin(const std::string &kind, const std::vector<std::string> &options, std::string name = {})
     {
         name = name.empty() ? kind : name;
@@ -57,22 +57,24 @@
         std::filesystem::remove(file);
         std::vector<std::string> command{buildFolder() + "/tests/standins", kind, "--port-file", file.string()};
         command.insert(command.end(), options.begin(), options.end());
-        processes_[name] = std::make_unique<Process>(command, log(name));
-        return readPort(file);
+        processes_[name] = std::make_unique<Process>(command, logFile(name));
+        return waitForPort(file);
     }
-    /// An engine stand-in with its sidecar "NAME"; the engine is "NAME-engine".
+    /// Starts an engine stand-in "NAME-engine" with its sidecar "NAME". `more` are further fields of the sidecar
+    /// settings.
     void startEngine(const std::string &name, std::vector<std::string> options = {}, const std::string &more = {})
     {
         options.insert(options.begin(), {"--base-model", "base"});
         const auto port = startStandin("engine", options, name + "-engine");
-        endpoints_[name] = port;
+        endpointPorts_[name] = port;
         startSidecar(name,
                      R"("endpointKind":"engine","baseModel":"base","endpointChecksFence":true,"orderTimeoutMs":2000,)"
                          + more);
     }
+    /// Starts a service stand-in "NAME-service" with its sidecar "NAME".
     void startService(const std::string &name, const std::string &service, const std::vector<std::string> &options = {})
     {
-        endpoints_[name] = startStandin("service", options, name + "-service");
+        endpointPorts_[name] = startStandin("service", options, name + "-service");
         startSidecar(name, R"("endpointKind":"service","services":[")" + service + R"("],)");
     }
     void startSidecar(const std::string &name, const std::string &sidecarFields)
@@ -83,7 +85,7 @@
         }
         startDaemon(name, "sidecar",
                     R"("sidecar":{)" + sidecarFields + R"("endpoint":"http://127.0.0.1:)"
-                        + std::to_string(endpoints_[name]) + R"(","lock":{"address":"127.0.0.1","port":)"
+                        + std::to_string(endpointPorts_[name]) + R"(","lock":{"address":"127.0.0.1","port":)"
                         + std::to_string(lockPorts_[name]) + R"(}})");
     }
     void restartSidecar(const std::string &name)
@@ -94,13 +96,13 @@
     {
         startDaemon(name, "entry", R"("entry":{)" + entryFields + "}");
     }
-    /// Other times for all daemons started from now on, as JSON fields.
+    /// Sets the timing fields, as JSON, of all daemons started afterwards.
     void setTiming(const std::string &fields)
     {
         timing_ = fields;
     }
-    /// Publishes the list of VMs as it is now.
-    void publish()
+    /// Publishes the current list of VMs.
+    void publishVmList()
     {
         std::ostringstream out;
         out << R"({"vms":[)";
@@ -112,13 +114,14 @@
             first = false;
         }
         out << "]}";
-        EXPECT_EQ(request(vmList, "POST", "/standin", out.str()).status, 200);
+        EXPECT_EQ(request(vmListPort, "POST", "/standin", out.str()).status, 200);
     }
     std::uint64_t configure(const std::vector<std::string> &records)
     {
         return configurator_->apply(records);
     }
-    /// `count` adapters "adapter-N" with version "v1", each under the route "route-N".
+    /// Configures `count` adapters "adapter-N" with version "v1", each with a route "route-N". Returns the revision, 0
+    /// on failure.
     std::uint64_t configureRoutes(unsigned count)
     {
         std::vector<std::string> records;
@@ -134,19 +137,19 @@
         }
         return configure(records);
     }
-    /// Waits until a call to the path is answered 200 by the entry.
+    /// Repeats the call until the entry answers with status 200. Returns false after the default bound of eventually().
     bool waitForAnswer(const std::string &entry, const std::string &path, const std::string &body)
     {
         return eventually([&] {
-            last = request(httpPort(entry), "POST", path, body);
-            return last.status == 200;
+            lastAnswer = request(httpPort(entry), "POST", path, body);
+            return lastAnswer.status == 200;
         });
     }
     Process &process(const std::string &name)
     {
         return *processes_.at(name);
     }
-    void forget(const std::string &name)
+    void removeProcess(const std::string &name)
     {
         processes_.erase(name);
     }
@@ -156,13 +159,13 @@
     }
     unsigned endpointPort(const std::string &name)
     {
-        return endpoints_.at(name);
+        return endpointPorts_.at(name);
     }
     std::string folder() const
     {
         return folder_.string();
     }
-    std::string log(const std::string &name) const
+    std::string logFile(const std::string &name) const
     {
         return (folder_ / (name + ".log")).string();
     }
@@ -170,7 +173,7 @@
     {
         return (folder_ / (name + ".json")).string();
     }
-    /// Value of a metric of a daemon, with its labels as written; -1 if it is not there.
+    /// Returns the value of a daemon's metric, named with its labels, or -1 if it is missing.
     double metric(const std::string &name, const std::string &metricName)
     {
         std::istringstream lines(request(httpPort(name), "GET", "/metrics").body);
@@ -183,13 +186,13 @@
         return -1;
     }
 
-    unsigned keyValue = 0;
-    unsigned vmList = 0;
+    unsigned keyValuePort = 0;
+    unsigned vmListPort = 0;
     std::map<std::string, Vm> vms;
-    Answer last; ///< of waitForAnswer
+    Answer lastAnswer; ///< last answer to waitForAnswer()
 
 private:
-    unsigned readPort(const std::filesystem::path &file)
+    unsigned waitForPort(const std::filesystem::path &file)
     {
         unsigned port = 0;
         EXPECT_TRUE(eventually([&] {
@@ -198,7 +201,7 @@
         })) << file;
         return port;
     }
-    void startDaemon(const std::string &name, const std::string &role, const std::string &part)
+    void startDaemon(const std::string &name, const std::string &role, const std::string &roleFields)
     {
         const auto control = folder_ / (name + ".control");
         const auto http = folder_ / (name + ".http");
@@ -209,19 +212,20 @@
             out << R"({"role":")" << role << R"(","name":")" << name
                 << R"(","dataCentre":"hall-east","region":"ub","control":{"portFile":")" << control.string()
                 << R"("},"http":{"portFile":")" << http.string() << R"("},"platform":{"keyValue":["http://127.0.0.1:)"
-                << keyValue << R"("],"vmList":"http://127.0.0.1:)" << vmList << R"(/vms","callBudget":200},"timing":{)"
-                << timing_ << "}," << part << "}\n";
+                << keyValuePort << R"("],"vmList":"http://127.0.0.1:)" << vmListPort
+                << R"(/vms","callBudget":200},"timing":{)" << timing_ << "}," << roleFields << "}\n";
         }
         processes_.erase(name);
         processes_[name] = std::make_unique<Process>(
-            std::vector<std::string>{buildFolder() + "/bin/anvilscaled", "--settings", settingsFile(name)}, log(name));
-        vms[name] = Vm{role, "live", readPort(control)};
-        httpPorts_[name] = readPort(http);
+            std::vector<std::string>{buildFolder() + "/bin/anvilscaled", "--settings", settingsFile(name)},
+            logFile(name));
+        vms[name] = Vm{role, "live", waitForPort(control)};
+        httpPorts_[name] = waitForPort(http);
     }
 
     std::filesystem::path folder_;
     std::map<std::string, std::unique_ptr<Process>> processes_;
-    std::map<std::string, unsigned> endpoints_;
+    std::map<std::string, unsigned> endpointPorts_;
     std::map<std::string, unsigned> lockPorts_;
     std::map<std::string, unsigned> httpPorts_;
     std::map<std::string, std::string> sidecarFields_;
--- a/tests/process/handover_test.cpp
+++ b/tests/process/handover_test.cpp
@@ -1,4 +1,4 @@
-// An upgrade of the sidecars of a service whose calls may run only once, with the real processes.
+// Handover of idempotency keys between the sidecars of a non-idempotent service, with real processes.
 #include "fleet.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
                   0U);
         fleet_.startService("desk-1", "admission");
         fleet_.startEntry("entry-1");
-        fleet_.publish();
+        fleet_.publishVmList();
     }
     std::string newKey()
     {
@@ -33,18 +33,18 @@
         return request(fleet_.httpPort("entry-1"), "POST", "/v1/services/admission/admit", "{}",
                        {{"Idempotency-Key", key}});
     }
-    int runs(const std::string &desk)
+    int runCount(const std::string &sidecar)
     {
-        return parse(request(fleet_.endpointPort(desk), "GET", "/standin/record").body)->getValue<int>("total");
+        return parse(request(fleet_.endpointPort(sidecar), "GET", "/standin/record").body)->getValue<int>("total");
     }
 
     Fleet fleet_;
 };
 
-TEST_F(Handover, RepeatAfterAnUpgradeGetsTheKeptAnswer)
+// Guards against a second run, or a lasting "outcome unknown", of a call that is repeated after its sidecar was
+// replaced.
+TEST_F(Handover, RepeatAfterAnUpgradeGetsTheStoredAnswer)
 {
-    // A desk's sidecar is replaced after it ran an admission. The gate, which lost the answer, sends it again: the new
-    // owner must know the key, or the guest is charged twice or turned away as "outcome unknown" for the whole window.
     std::string key;
     Answer first;
     ASSERT_TRUE(eventually([&] {
@@ -55,15 +55,15 @@
         << first.body << fleet_.folder();
 
     fleet_.startService("desk-2", "admission");
-    fleet_.publish();
+    fleet_.publishVmList();
     ASSERT_TRUE(eventually([&] {
         admit(newKey());
-        return runs("desk-2") != 0;
-    })) << "the second desk takes its share of the slots; "
+        return runCount("desk-2") != 0;
+    })) << "the second sidecar acquired no slots; "
         << fleet_.folder();
-    const int total = runs("desk-1") + runs("desk-2");
+    const int total = runCount("desk-1") + runCount("desk-2");
     fleet_.process("desk-1").signal(SIGTERM);
-    ASSERT_TRUE(eventually([&] { return !fleet_.process("desk-1").running(); })) << fleet_.folder();
+    ASSERT_TRUE(eventually([&] { return !fleet_.process("desk-1").isRunning(); })) << fleet_.folder();
     EXPECT_EQ(fleet_.process("desk-1").wait(), 0);
 
     Answer repeat;
@@ -73,7 +73,7 @@
     })) << repeat.status
         << repeat.body << fleet_.folder();
     EXPECT_EQ(repeat.body, first.body);
-    EXPECT_EQ(runs("desk-1") + runs("desk-2"), total) << "the repeat ran again";
+    EXPECT_EQ(runCount("desk-1") + runCount("desk-2"), total) << "the repeat ran again";
 }
 
 } // namespace
--- a/tests/process/http_calls.h
+++ b/tests/process/http_calls.h
@@ -1,4 +1,4 @@
-// HTTP requests of the tests, and what answers say.
+// HTTP requests of the tests, and parsers of answers.
 #pragma once
 
 #include <Poco/Exception.h>
@@ -18,12 +18,12 @@
 
 struct Answer
 {
-    int status = 0; ///< 0: no whole answer
+    int status = 0; ///< 0 if the answer is incomplete or missing
     std::map<std::string, std::string> headers;
     std::string body;
 };
 
-/// One request on a connection of its own. A connection that breaks gives status 0 and what had been read.
+/// Sends one request on a new connection. If the connection breaks, the status is 0 and the body holds what was read.
 inline Answer requestAt(const std::string &address, unsigned port, const std::string &method, const std::string &path,
                         const std::string &body = {}, const std::map<std::string, std::string> &headers = {},
                         int timeoutS = 60)
@@ -48,14 +48,15 @@
             answer.headers[name] = value;
         }
         const auto length = response.getContentLength64();
-        const bool whole = length < 0 || static_cast<std::size_t>(length) == answer.body.size();
-        answer.status = whole && session.networkException() == nullptr ? response.getStatus() : 0;
+        const bool isComplete = length < 0 || static_cast<std::size_t>(length) == answer.body.size();
+        answer.status = isComplete && session.networkException() == nullptr ? response.getStatus() : 0;
     } catch (const Poco::Exception &) {
         answer.status = 0;
     }
     return answer;
 }
 
+/// Sends one request to a port of 127.0.0.1.
 inline Answer request(unsigned port, const std::string &method, const std::string &path, const std::string &body = {},
                       const std::map<std::string, std::string> &headers = {}, int timeoutS = 60)
 {
@@ -67,7 +68,7 @@
     return Poco::JSON::Parser().parse(json).extract<Poco::JSON::Object::Ptr>();
 }
 
-/// The error form of an answer, or empty text.
+/// Returns a field of the error object of an answer, or an empty text if there is none.
 inline std::string errorField(const std::string &json, const std::string &field)
 {
     try {
@@ -77,12 +78,12 @@
     }
 }
 
-/// The text of all events of a streamed completion, and whether it ended by [DONE].
+/// Text of all events of a streamed completion.
 struct StreamText
 {
     std::string text;
-    std::string error; ///< data of an error event
-    bool done = false;
+    std::string error; ///< data of an error event, empty if none
+    bool isDone = false; ///< ended with [DONE]
 };
 inline StreamText readStream(const std::string &body)
 {
@@ -94,7 +95,7 @@
         if (line == "event: error") {
             isError = true;
         } else if (line == "data: [DONE]") {
-            result.done = true;
+            result.isDone = true;
         } else if (line.starts_with("data: ") && isError) {
             result.error = line.substr(6);
         } else if (line.starts_with("data: ")) {
--- a/tests/process/late_listener_test.cpp
+++ b/tests/process/late_listener_test.cpp
@@ -1,4 +1,4 @@
-// A listener that is attached while the end of its execution is on its way to the control thread.
+// Listeners attached after the end of an execution, and executions that are started too late.
 #include "support/standin_process.h"
 
 #include "anvilscale/endpoint.h"
@@ -11,8 +11,8 @@
 namespace anvilscale::testing {
 namespace {
 
-/// What the endpoint's threads report, for a test that waits for it.
-class Reports
+/// Records the reports of the endpoint's threads and lets a test wait for them.
+class EndpointReports
 {
 public:
     Endpoint::Handlers handlers()
@@ -20,13 +20,15 @@
         Endpoint::Handlers handlers;
         handlers.send = [this](PeerHandle peer, const wire::Envelope &message) {
             if (message.has_call_end()) {
-                note([&] { ends_[peer.value] = message.call_end(); });
+                update([&] { ends_[peer.value] = message.call_end(); });
             } else {
-                note([&] { bytes_[peer.value] += message.call_frame().data(); });
+                update([&] { bytes_[peer.value] += message.call_frame().data(); });
             }
         };
         handlers.started = [](ExecutionHandle) {};
-        handlers.ended = [this](ExecutionHandle, const KeptAnswer &, std::uint32_t) { note([&] { ended_ = true; }); };
+        handlers.ended = [this](ExecutionHandle, const KeptAnswer &, std::uint32_t) {
+            update([&] { hasEnded_ = true; });
+        };
         handlers.orderDone = [](OrderHandle, OrderOutcome) {};
         handlers.list = [](OrderHandle, const EngineList &) {};
         handlers.report = [](const EngineReport &) {};
@@ -36,7 +38,7 @@
     void waitForEnd()
     {
         std::unique_lock lock(mutex_);
-        changed_.wait(lock, [this] { return ended_; });
+        changed_.wait(lock, [this] { return hasEnded_; });
     }
     wire::CallEnd endOf(std::uint64_t peer)
     {
@@ -52,7 +54,7 @@
 
 private:
     template<class Change>
-    void note(Change change)
+    void update(Change change)
     {
         const std::scoped_lock lock(mutex_);
         change();
@@ -63,10 +65,10 @@
     std::condition_variable changed_;
     std::map<std::uint64_t, wire::CallEnd> ends_;
     std::map<std::uint64_t, std::string> bytes_;
-    bool ended_ = false;
+    bool hasEnded_ = false;
 };
 
-AttachListener listener(ExecutionHandle execution, std::uint64_t peer)
+AttachListener makeListener(ExecutionHandle execution, std::uint64_t peer)
 {
     AttachListener attach;
     attach.execution = execution;
@@ -76,7 +78,7 @@
     return attach;
 }
 
-StartExecution startOf(std::uint64_t call)
+StartExecution makeStart(std::uint64_t call)
 {
     StartExecution start;
     start.execution = ExecutionHandle{call};
@@ -91,48 +93,47 @@
     return start;
 }
 
-// A caller repeats a call that must run at most once, just as the first answer ends. The sidecar decides to attach the
-// repeat while the end is still on its way from the endpoint's thread. The repeat must get the whole answer: it was
-// told "outcome unknown" before, though the answer was there.
-TEST(LateListener, GetsTheWholeAnswerUntilTheEndIsTakenIn)
+// Guards against "outcome unknown" for a repeat that is attached after the execution ended, but before the control
+// thread has processed the end.
+TEST(LateListener, GetsTheWholeAnswerUntilTheEndIsProcessed)
 {
     StandinProcess service("service");
-    Reports reports;
+    EndpointReports reports;
     EndpointInit init;
     init.address = "127.0.0.1";
     init.port = static_cast<std::uint16_t>(service.port());
     init.kind = EndpointKind::Service;
     Endpoint endpoint(init, reports.handlers());
 
-    const auto start = startOf(1);
+    const auto start = makeStart(1);
     endpoint.start(start);
     reports.waitForEnd();
     EXPECT_EQ(reports.endOf(1).outcome(), static_cast<std::uint32_t>(CallOutcome::Complete));
 
-    endpoint.attach(listener(start.execution, 2));
+    endpoint.attach(makeListener(start.execution, 2));
     EXPECT_EQ(reports.endOf(2).outcome(), static_cast<std::uint32_t>(CallOutcome::Complete));
     EXPECT_EQ(reports.bytesOf(2), reports.bytesOf(1));
     EXPECT_FALSE(reports.bytesOf(2).empty());
 
     endpoint.release(start.execution);
-    endpoint.attach(listener(start.execution, 3));
+    endpoint.attach(makeListener(start.execution, 3));
     EXPECT_EQ(reports.endOf(3).outcome(), static_cast<std::uint32_t>(CallOutcome::Unknown));
     endpoint.shutdown();
 }
 
-// The sidecar is stopped for some seconds between its decision to start a call and the send. The endpoint may have left
-// or restarted by then, so the call is not sent: it ends as never sent, which lets its entry try elsewhere.
-TEST(Endpoint, AStartThatComesTooLateIsNotSent)
+// Guards against a late send after a pause of the sidecar: the endpoint may have left or restarted, so the call fails
+// as unsent and its entry can retry elsewhere.
+TEST(Endpoint, LateStartIsNotSent)
 {
     StandinProcess service("service");
-    Reports reports;
+    EndpointReports reports;
     EndpointInit init;
     init.address = "127.0.0.1";
     init.port = static_cast<std::uint16_t>(service.port());
     init.kind = EndpointKind::Service;
     Endpoint endpoint(init, reports.handlers());
 
-    auto start = startOf(1);
+    auto start = makeStart(1);
     start.sendBefore = EventLoop::now();
     endpoint.start(start);
     reports.waitForEnd();
--- a/tests/process/own_ports.h
+++ b/tests/process/own_ports.h
@@ -1,4 +1,4 @@
-// Ports for the processes that a test starts.
+// Allocation of ports for the processes that a test starts.
 #pragma once
 
 #include <Poco/Net/DatagramSocket.h>
@@ -11,53 +11,52 @@
 
 namespace fleet {
 
-/// Ports for processes that this test process starts. A port that the system had given and got back was taken by
-/// another test, or by the near end of a connection, before the daemon bound it, and the daemon ended as it started.
-/// These lie below the range that the system gives to connections, in blocks that one test process holds until it ends.
-class OwnPorts
+/// Allocates ports below the system's ephemeral range, in blocks locked by one test process until it exits. Prevents
+/// other tests and outgoing connections from taking a port before the daemon binds it.
+class PortAllocator
 {
 public:
     unsigned next()
     {
-        unsigned port = take();
+        unsigned port = nextCandidate();
         while (!isFree(port)) {
-            port = take();
+            port = nextCandidate();
         }
         return port;
     }
 
 private:
-    static constexpr unsigned first = 20'000;
+    static constexpr unsigned firstPort = 20'000;
     static constexpr unsigned blockSize = 16;
-    static constexpr unsigned blocks = 700;
+    static constexpr unsigned blockCount = 700;
 
-    unsigned take()
+    unsigned nextCandidate()
     {
-        if (left_ == 0) {
-            takeBlock();
+        if (remaining_ == 0) {
+            lockBlock();
         }
-        --left_;
-        return next_++;
+        --remaining_;
+        return nextPort_++;
     }
 
-    /// A datagram socket on a block's first number is the lock: the kernel gives it to one process, and the daemons
-    /// listen on streams only.
-    void takeBlock()
+    /// Locks a block by a datagram socket on its first port, which does not conflict with the stream sockets of
+    /// daemons.
+    void lockBlock()
     {
-        for (unsigned tried = 0; tried < blocks; ++tried) {
-            const unsigned block = (static_cast<unsigned>(::getpid()) + tried) % blocks;
-            const unsigned port = first + block * blockSize;
+        for (unsigned attempt = 0; attempt < blockCount; ++attempt) {
+            const unsigned block = (static_cast<unsigned>(::getpid()) + attempt) % blockCount;
+            const unsigned port = firstPort + block * blockSize;
             try {
                 const Poco::Net::SocketAddress address("127.0.0.1", static_cast<Poco::UInt16>(port));
                 locks_.emplace_back(address, false);
             } catch (const Poco::Net::NetException &) {
-                continue; // another test process holds it
+                continue; // locked by another test process
             }
-            next_ = port;
-            left_ = blockSize;
+            nextPort_ = port;
+            remaining_ = blockSize;
             return;
         }
-        throw std::runtime_error("every block of ports is held");
+        throw std::runtime_error("all blocks of test ports are in use");
     }
 
     static bool isFree(unsigned port)
@@ -67,19 +66,20 @@
                 Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(port)));
             return true;
         } catch (const Poco::Net::NetException &) {
-            return false; // some other program has it
+            return false; // used by another program
         }
     }
 
     std::vector<Poco::Net::DatagramSocket> locks_;
-    unsigned next_ = 0;
-    unsigned left_ = 0; // of the block taken last
+    unsigned nextPort_ = 0;
+    unsigned remaining_ = 0; // unused ports of the current block
 };
 
+/// Returns a port that is free and is not given out twice by this process.
 inline unsigned freePort()
 {
-    static OwnPorts ports;
-    return ports.next();
+    static PortAllocator allocator;
+    return allocator.next();
 }
 
 } // namespace fleet
--- a/tests/process/path_test.cpp
+++ b/tests/process/path_test.cpp
@@ -1,4 +1,4 @@
-// The whole path with real processes: caller, entry, sidecar, endpoint, and back.
+// Calls through the whole path with real processes: caller, entry, sidecar and endpoint.
 #include "../standins/expected_answer.h"
 #include "fleet.h"
 
@@ -16,9 +16,9 @@
         ASSERT_NE(fleet_.configureRoutes(3), 0U);
         fleet_.startEngine("engine-1", {"--slots", "2"});
         fleet_.startEntry("entry-1");
-        fleet_.publish();
+        fleet_.publishVmList();
         ASSERT_TRUE(fleet_.waitForAnswer("entry-1", "/v1/completions", completion("route-0", "warm", 2, false)))
-            << fleet_.last.status << fleet_.last.body << fleet_.folder();
+            << fleet_.lastAnswer.status << fleet_.lastAnswer.body << fleet_.folder();
     }
 
     Fleet fleet_;
@@ -33,25 +33,25 @@
     EXPECT_EQ(text, standins::expectedAnswer("adapter-1@v1", "hello", 5));
 }
 
-TEST_F(Path, StreamedAnswerIsWholeAndEndsByDone)
+TEST_F(Path, StreamedAnswerIsCompleteAndEndsWithDone)
 {
     const auto answer =
         request(fleet_.httpPort("entry-1"), "POST", "/v1/completions", completion("route-2", "hello", 40, true));
     ASSERT_EQ(answer.status, 200) << answer.body;
     const auto stream = readStream(answer.body);
-    EXPECT_TRUE(stream.done);
+    EXPECT_TRUE(stream.isDone);
     EXPECT_EQ(stream.text, standins::expectedAnswer("adapter-2@v1", "hello", 40));
 }
 
-// An answer that is far longer than the sockets' buffers is written in many turns, as the caller takes it.
-TEST_F(Path, LongStreamIsWhole)
+// Guards against lost bytes in an answer that exceeds the socket buffers and is written in many parts.
+TEST_F(Path, LongStreamIsComplete)
 {
     constexpr unsigned tokens = 60000;
     const auto answer =
         request(fleet_.httpPort("entry-1"), "POST", "/v1/completions", completion("route-2", "long", tokens, true));
     ASSERT_EQ(answer.status, 200) << answer.body.substr(0, 400);
     const auto stream = readStream(answer.body);
-    EXPECT_TRUE(stream.done) << stream.error;
+    EXPECT_TRUE(stream.isDone) << stream.error;
     EXPECT_TRUE(stream.text == standins::expectedAnswer("adapter-2@v1", "long", tokens));
 }
 
--- a/tests/process/quarantine_test.cpp
+++ b/tests/process/quarantine_test.cpp
@@ -1,4 +1,4 @@
-// A request that ends each endpoint that runs it, at two entries, as separate processes.
+// Quarantine of requests that crash endpoints, shared by two entries, with real processes.
 #include "direct_fleet.h"
 
 namespace {
@@ -8,64 +8,65 @@
 class DirectQuarantine : public Direct
 {
 protected:
-    static constexpr int furtherEndpoints = 6;
+    static constexpr int extraEndpoints = 6;
 
     void startAll()
     {
-        for (int i = 0; i < furtherEndpoints; ++i) {
+        for (int i = 0; i < extraEndpoints; ++i) {
             const auto id = "c-" + std::to_string(i);
             const auto port = fleet_.startStandin("site-replica", {"--id", id}, id);
-            put("servers/" + id, record("plain", "127.0.0.1:" + std::to_string(port)));
-            endpoints_.push_back(port);
+            putKey("servers/" + id, record("plain", "127.0.0.1:" + std::to_string(port)));
+            endpointPorts_.push_back(port);
         }
-        endpoints_.insert(endpoints_.end(), plain_.begin(), plain_.end());
-        for (const auto port : endpoints_) {
-            tell(port, R"({"crashOn":"fatal"})");
+        endpointPorts_.insert(endpointPorts_.end(), plainPorts_.begin(), plainPorts_.end());
+        for (const auto port : endpointPorts_) {
+            controlStandin(port, R"({"crashOn":"fatal"})");
         }
         start();
-        startEntry("entry-2", "127.0.0.3", second_);
-        EXPECT_TRUE(eventually([&] { return request(second_.ready, "GET", "/api/readyz").status == 200; }));
+        startEntry("entry-2", "127.0.0.3", secondEntry_);
+        EXPECT_TRUE(eventually([&] { return request(secondEntry_.ready, "GET", "/api/readyz").status == 200; }));
     }
-    /// Each attempt of a caller has a new id; what is asked for is in the body.
-    Answer ask(unsigned entry, const std::string &body)
+    /// Sends the body with a new request id, as each try of a caller does.
+    Answer sendRequest(unsigned entry, const std::string &body)
     {
-        const std::map<std::string, std::string> headers{{"Host", "h.example"},
-                                                         {"X-Anvilscale-Request-Id", "q-" + std::to_string(++asked_)},
-                                                         {"X-Anvilscale-Deadline-Ms", "5000"}};
+        const std::map<std::string, std::string> headers{
+            {"Host", "h.example"},
+            {"X-Anvilscale-Request-Id", "q-" + std::to_string(++requestCount_)},
+            {"X-Anvilscale-Deadline-Ms", "5000"}};
         return request(entry, "POST", "/n/x", body, headers);
     }
-    /// How often any endpoint has begun to run a request.
-    std::size_t runs() const
+    /// Returns the number of runs started at all endpoints.
+    std::size_t runCount() const
     {
         std::size_t count = 0;
-        for (const auto port : endpoints_) {
+        for (const auto port : endpointPorts_) {
             count += parse(request(port, "GET", "/standin").body)->getArray("ran")->size();
         }
         return count;
     }
 
-    EntryPorts second_;
-    std::vector<unsigned> endpoints_;
-    int asked_ = 0;
+    EntryPorts secondEntry_;
+    std::vector<unsigned> endpointPorts_;
+    int requestCount_ = 0;
 };
 
-// Guards against a request that ends every endpoint it reaches, because no entry knows what it did at the others.
-TEST_F(DirectQuarantine, ARequestThatCrashesEndpointsIsRefusedAtEveryEntry)
+// Guards against a request that crashes one endpoint after another because entries do not share its crashes.
+TEST_F(DirectQuarantine, CrashingRequestIsRefusedAtEveryEntry)
 {
     startAll();
     EXPECT_TRUE(eventually([&] {
-        const auto first = ask(httpPort_, "fatal");
-        const auto second = ask(second_.http, "fatal");
+        const auto first = sendRequest(httpPort_, "fatal");
+        const auto second = sendRequest(secondEntry_.http, "fatal");
         return first.status == 503 && second.status == 503;
     }));
-    const auto before = runs();
+    const auto runsBefore = runCount();
     for (int i = 0; i < 4; ++i) {
-        EXPECT_EQ(ask(httpPort_, "fatal").status, 503);
-        EXPECT_EQ(ask(second_.http, "fatal").status, 503);
+        EXPECT_EQ(sendRequest(httpPort_, "fatal").status, 503);
+        EXPECT_EQ(sendRequest(secondEntry_.http, "fatal").status, 503);
     }
-    EXPECT_EQ(runs(), before);
-    EXPECT_EQ(ask(httpPort_, "harmless").status, 200);
-    EXPECT_EQ(ask(second_.http, "harmless").status, 200);
+    EXPECT_EQ(runCount(), runsBefore);
+    EXPECT_EQ(sendRequest(httpPort_, "harmless").status, 200);
+    EXPECT_EQ(sendRequest(secondEntry_.http, "harmless").status, 200);
 }
 
 } // namespace
--- a/tests/process/streams_test.cpp
+++ b/tests/process/streams_test.cpp
@@ -1,4 +1,4 @@
-// Many streams at once through real processes: each caller gets the whole of its own answer.
+// Many concurrent streams through real processes, also during shutdown of an entry or a sidecar.
 #include "../standins/expected_answer.h"
 #include "fleet.h"
 
@@ -10,52 +10,53 @@
 
 using namespace fleet;
 
-constexpr unsigned streams = 200;
-constexpr unsigned routes = 4;
+constexpr unsigned streamCount = 200;
+constexpr unsigned routeCount = 4;
 
 class Streams : public testing::Test
 {
 protected:
     void SetUp() override
     {
-        ASSERT_NE(fleet_.configureRoutes(routes), 0U);
-        const std::vector<std::string> engine{"--slots", "4", "--batch-limit", "128", "--step-us", "4000"};
-        fleet_.startEngine("engine-1", engine, R"("batchLimit":128,)");
-        fleet_.startEngine("engine-2", engine, R"("batchLimit":128,)");
+        ASSERT_NE(fleet_.configureRoutes(routeCount), 0U);
+        const std::vector<std::string> engineOptions{"--slots", "4", "--batch-limit", "128", "--step-us", "4000"};
+        fleet_.startEngine("engine-1", engineOptions, R"("batchLimit":128,)");
+        fleet_.startEngine("engine-2", engineOptions, R"("batchLimit":128,)");
         fleet_.startEntry("entry-1");
-        fleet_.publish();
-        for (unsigned i = 0; i < routes; ++i) {
+        fleet_.publishVmList();
+        for (unsigned i = 0; i < routeCount; ++i) {
             ASSERT_TRUE(fleet_.waitForAnswer("entry-1", "/v1/completions", completion(route(i), "warm", 2, false)))
-                << fleet_.last.status << fleet_.last.body << fleet_.folder();
+                << fleet_.lastAnswer.status << fleet_.lastAnswer.body << fleet_.folder();
         }
     }
     void TearDown() override
     {
-        joinAll(); // also after an assertion that ended the test before
+        joinAll(); // needed if an assertion ended the test early
     }
     static std::string route(unsigned i)
     {
-        return "route-" + std::to_string(i % routes);
+        return "route-" + std::to_string(i % routeCount);
     }
     static unsigned tokens(unsigned i)
     {
         return 100 + (i * 37) % 200;
     }
-    /// Starts one call in a thread of its own; its answer is checked against what its own prompt must give.
+    /// Starts one call in its own thread and checks the answer against the expected one for its prompt and adapter.
     void startStream(unsigned i)
     {
         callers_.emplace_back([this, i] {
             const auto prompt = "caller " + std::to_string(i);
             const auto answer = request(fleet_.httpPort("entry-1"), "POST", "/v1/completions",
                                         completion(route(i), prompt, tokens(i), true));
-            const auto adapter = "adapter-" + std::to_string(i % routes) + "@v1";
+            const auto adapter = "adapter-" + std::to_string(i % routeCount) + "@v1";
             const auto stream = answer.status == 200 ? readStream(answer.body) : StreamText{};
-            const bool whole = stream.done && stream.text == standins::expectedAnswer(adapter, prompt, tokens(i));
-            whole_ += whole ? 1 : 0;
-            if (!whole) {
+            const bool isComplete =
+                stream.isDone && stream.text == standins::expectedAnswer(adapter, prompt, tokens(i));
+            completeStreams_ += isComplete ? 1 : 0;
+            if (!isComplete) {
                 const std::lock_guard lock(mutex_);
-                firstFault_ = firstFault_.empty() ? std::to_string(answer.status) + " " + answer.body.substr(0, 400)
-                                                  : firstFault_;
+                firstFailure_ = firstFailure_.empty() ? std::to_string(answer.status) + " " + answer.body.substr(0, 400)
+                                                      : firstFailure_;
             }
         });
     }
@@ -69,65 +70,63 @@
 
     Fleet fleet_;
     std::vector<std::thread> callers_;
-    std::atomic<unsigned> whole_ = 0;
+    std::atomic<unsigned> completeStreams_ = 0;
     std::mutex mutex_;
-    std::string firstFault_;
+    std::string firstFailure_;
 };
 
-// Two hundred callers stream at once over two engines; answers of very different length end crossed and late. If a
-// frame reached the wrong call, came twice or was missing, the text of that caller would not be the one that its
-// own prompt and adapter give.
-TEST_F(Streams, TwoHundredCrossedStreamsAreEachWholeAndTheirOwn)
+// Guards against misrouted, duplicated and missing frames among concurrent streams of different length.
+TEST_F(Streams, ConcurrentStreamsGetTheirOwnCompleteAnswers)
 {
-    for (unsigned i = 0; i < streams; ++i) {
+    for (unsigned i = 0; i < streamCount; ++i) {
         startStream(i);
     }
     joinAll();
-    EXPECT_EQ(whole_, streams) << firstFault_ << " " << fleet_.folder();
+    EXPECT_EQ(completeStreams_, streamCount) << firstFailure_ << " " << fleet_.folder();
     EXPECT_EQ(fleet_.metric("entry-1", "anvilscale_answers_broken_total"), 0);
     EXPECT_EQ(fleet_.metric("entry-1", "anvilscale_calls_open"), 0);
 }
 
-// The entry is told to stop while two hundred streams run. Readiness fails and new connections are refused, but
-// every stream goes on to its end, and only then does the process exit, with 0. Twice the signal changes nothing.
+// Guards against streams cut by a SIGTERM, also a repeated one, of the entry: it exits with 0 after the last stream.
 TEST_F(Streams, SigtermOfTheEntryCutsNoStream)
 {
-    const auto before = fleet_.metric("entry-1", "anvilscale_calls_total");
-    for (unsigned i = 0; i < streams; ++i) {
+    const auto callsBefore = fleet_.metric("entry-1", "anvilscale_calls_total");
+    for (unsigned i = 0; i < streamCount; ++i) {
         startStream(i);
     }
-    // A caller that has not reached the entry yet would rightly be refused.
-    ASSERT_TRUE(eventually([&] { return fleet_.metric("entry-1", "anvilscale_calls_total") >= before + streams; }));
+    // Calls that arrive after the signal may be refused, so all must have arrived.
+    ASSERT_TRUE(
+        eventually([&] { return fleet_.metric("entry-1", "anvilscale_calls_total") >= callsBefore + streamCount; }));
     ASSERT_GT(fleet_.metric("entry-1", "anvilscale_calls_open"), 0);
     fleet_.process("entry-1").signal(SIGTERM);
     EXPECT_TRUE(eventually([&] { return request(fleet_.httpPort("entry-1"), "GET", "/readyz").status != 200; }));
     fleet_.process("entry-1").signal(SIGTERM);
     joinAll();
     EXPECT_EQ(fleet_.process("entry-1").wait(), 0);
-    EXPECT_EQ(whole_, streams) << firstFault_ << " " << fleet_.folder();
+    EXPECT_EQ(completeStreams_, streamCount) << firstFailure_ << " " << fleet_.folder();
 }
 
-// One of two sidecars is told to stop while streams run on it: they end, new calls go to the other one, exit code 0.
+// Guards against streams cut by a SIGTERM of their sidecar, and against new calls to it.
 TEST_F(Streams, SigtermOfASidecarCutsNoStream)
 {
-    for (unsigned i = 0; i < streams / 2; ++i) {
+    for (unsigned i = 0; i < streamCount / 2; ++i) {
         startStream(i);
     }
-    // Which engine serves these routes is the entry's choice; one that serves streams is told to stop.
-    std::string busy;
+    // The entry chooses the engine, so the test finds one that serves streams.
+    std::string busyEngine;
     ASSERT_TRUE(eventually([&] {
         for (const auto *engine : {"engine-1", "engine-2"}) {
-            busy = fleet_.metric(engine, "anvilscale_running") > 0 ? engine : busy;
+            busyEngine = fleet_.metric(engine, "anvilscale_running") > 0 ? engine : busyEngine;
         }
-        return !busy.empty();
+        return !busyEngine.empty();
     }));
-    fleet_.process(busy).signal(SIGTERM);
-    for (unsigned i = streams / 2; i < streams; ++i) {
+    fleet_.process(busyEngine).signal(SIGTERM);
+    for (unsigned i = streamCount / 2; i < streamCount; ++i) {
         startStream(i);
     }
     joinAll();
-    EXPECT_EQ(fleet_.process(busy).wait(), 0);
-    EXPECT_EQ(whole_, streams) << firstFault_ << " " << fleet_.folder();
+    EXPECT_EQ(fleet_.process(busyEngine).wait(), 0);
+    EXPECT_EQ(completeStreams_, streamCount) << firstFailure_ << " " << fleet_.folder();
 }
 
 } // namespace
