--- a/bench/policybench/bench_config.h
+++ b/bench/policybench/bench_config.h
@@ -16,7 +16,7 @@
 };
 
 /// Overload protections that can be switched individually.
-struct OverloadOptions
+struct OverloadFeatures
 {
     bool isRetryBudgetOn = true;
     bool attachesRepeats = true;
--- a/bench/policybench/fleet.cpp
+++ b/bench/policybench/fleet.cpp
@@ -35,11 +35,11 @@
 
 template<class Version>
 FleetSimulation<Version>::FleetSimulation(const Trace &trace, const ConfigStore &config, std::uint64_t seed,
-                                          const OverloadOptions &overloadOptions)
+                                          const OverloadFeatures &overloadFeatures)
     : trace_(trace)
     , config_(config)
     , seed_(seed)
-    , overloadOptions_(overloadOptions)
+    , overloadFeatures_(overloadFeatures)
     , random_(seed * 31 + 7)
 {
     build();
@@ -62,9 +62,9 @@
     init.config = &config_;
     init.timers = const_cast<TimerService *>(&timers_);
     init.seed = seed_ * 1000 + index;
-    init.overload.attachRepeats = overloadOptions_.attachesRepeats;
-    init.overload.refuseUnreachable = overloadOptions_.refusesByDeadline;
-    init.overload.order = overloadOptions_.servesNewestFirst ? QueuePolicy::NewestFirst : QueuePolicy::Deadline;
+    init.overload.attachRepeats = overloadFeatures_.attachesRepeats;
+    init.overload.refuseUnreachable = overloadFeatures_.refusesByDeadline;
+    init.overload.order = overloadFeatures_.servesNewestFirst ? QueuePolicy::NewestFirst : QueuePolicy::Deadline;
     return init;
 }
 
@@ -108,8 +108,8 @@
         init.config = &config_;
         init.timers = &timers_;
         init.seed = seed_ * 77 + i;
-        init.overload.refuseByDeadline = overloadOptions_.refusesByDeadline;
-        init.overload.limitRepeats = overloadOptions_.isRetryBudgetOn;
+        init.overload.refuseByDeadline = overloadFeatures_.refusesByDeadline;
+        init.overload.limitRepeats = overloadFeatures_.isRetryBudgetOn;
         entries_.push_back(std::make_unique<typename Version::Entry>(std::move(init)));
     }
     if (Version::hasScheduler) {
--- a/bench/policybench/fleet.h
+++ b/bench/policybench/fleet.h
@@ -34,7 +34,7 @@
 {
 public:
     FleetSimulation(const Trace &trace, const ConfigStore &config, std::uint64_t seed,
-                    const OverloadOptions &overloadOptions);
+                    const OverloadFeatures &overloadFeatures);
     void run();
     Metrics metrics() const;
 
@@ -90,7 +90,7 @@
     const Trace &trace_;
     const ConfigStore &config_;
     std::uint64_t seed_;
-    OverloadOptions overloadOptions_;
+    OverloadFeatures overloadFeatures_;
     TimerService timers_;
     Random random_;
     TimePoint origin_{Seconds(1000)};
--- a/bench/policybench/main.cpp
+++ b/bench/policybench/main.cpp
@@ -20,7 +20,7 @@
     Scenario scenario = Scenario::Steady;
     std::uint64_t seed = 1;
     PolicySettings policy;
-    OverloadOptions overloadOptions;
+    OverloadFeatures overloadFeatures;
     std::string versions = "both";
     double zipf = 0.0; ///< 0 for the value of the deployment
     double rate = 0.0; ///< calls per second; 0 for the value of the deployment
@@ -56,9 +56,9 @@
     out.rate = parsed["rate"].as<double>();
     const auto optionList = parsed["ideas"].as<std::string>();
     const auto has = [&](const char *name) { return optionList.find(name) != std::string::npos; };
-    out.overloadOptions = OverloadOptions{has("budget"), has("attach"), has("defer"), has("newest"), has("deadline")};
+    out.overloadFeatures = OverloadFeatures{has("budget"), has("attach"), has("defer"), has("newest"), has("deadline")};
     // Zero means the default in a record, so the shortest delay is 1 ms.
-    out.policy.cancelDelay = out.overloadOptions.defersCancel ? Duration(Seconds(10)) : Duration(Milliseconds(1));
+    out.policy.cancelDelay = out.overloadFeatures.defersCancel ? Duration(Seconds(10)) : Duration(Milliseconds(1));
     out.policy.queueLimit = has("queue") ? 0 : unlimitedQueue;
     return out;
 }
@@ -66,7 +66,7 @@
 template<class Version>
 void runVersion(const char *name, const Trace &trace, const ConfigStore &config, const Options &options)
 {
-    FleetSimulation<Version> fleet(trace, config, options.seed, options.overloadOptions);
+    FleetSimulation<Version> fleet(trace, config, options.seed, options.overloadFeatures);
     fleet.run();
     std::cout << ",\"" << name << "\":";
     printMetrics(std::cout, fleet.metrics());
