--- a/bench/decisionbench.cpp
+++ b/bench/decisionbench.cpp
@@ -99,8 +99,8 @@
     Random random(1);
     std::vector<std::string> routes;
     for (std::uint32_t i = 0; i < requestCount; ++i) {
-        const auto number =
-            isCold ? residentAdapters + random.below(adapters - residentAdapters) : random.below(residentAdapters);
+        const auto number = isCold ? residentAdapters + random.uniformBelow(adapters - residentAdapters)
+                                   : random.uniformBelow(residentAdapters);
         routes.push_back(adapterName(number));
     }
     std::uint64_t handle = 0;
--- a/bench/policybench/fakes.cpp
+++ b/bench/policybench/fakes.cpp
@@ -61,7 +61,7 @@
 
 void FakeWeightStore::load(TimePoint now, Callback done)
 {
-    if (refusalShare_ > 0.0 && random_.unit() < refusalShare_) {
+    if (refusalShare_ > 0.0 && random_.uniform() < refusalShare_) {
         timers_.subscribe(now + Milliseconds(5), [done = std::move(done)](TimePoint at) {
             done(OrderOutcome::Refused, Now{at, {}});
         });
--- a/bench/policybench/fleet.cpp
+++ b/bench/policybench/fleet.cpp
@@ -64,7 +64,7 @@
     init.seed = seed_ * 1000 + index;
     init.overload.attachRepeats = overloadFeatures_.attachesRepeats;
     init.overload.refuseUnreachable = overloadFeatures_.refusesByDeadline;
-    init.overload.order = overloadFeatures_.servesNewestFirst ? QueuePolicy::NewestFirst : QueuePolicy::Deadline;
+    init.overload.queuePolicy = overloadFeatures_.servesNewestFirst ? QueuePolicy::NewestFirst : QueuePolicy::Deadline;
     return init;
 }
 
@@ -222,7 +222,7 @@
     auto &callRecord = records_[record];
     ++callRecord.attempts;
     const CallHandle handle{++lastHandle_};
-    const auto entry = random_.below(entries_.size());
+    const auto entry = random_.uniformBelow(entries_.size());
     openCalls_[handle.value] = {record, entry};
     CallerRequest request;
     if (trace.isService) {
@@ -276,7 +276,7 @@
         sendToSidecar(0, SendToSidecar{node->name, std::move(hello)});
     }
     if (!begin) {
-        scheduler_->onTakeOver(timeAt(now_));
+        scheduler_->onLeaseAcquired(timeAt(now_));
     }
 }
 
@@ -375,7 +375,7 @@
     }
     const bool isRetry = result != CallResult::Completed && trace_.callersRetry && callRecord.attempts < callerAttempts;
     if (isRetry) {
-        const double backoff = minBackoffSeconds + random_.unit() * (maxBackoffSeconds - minBackoffSeconds);
+        const double backoff = minBackoffSeconds + random_.uniform() * (maxBackoffSeconds - minBackoffSeconds);
         const auto wait = std::max(error.retryAfter, Duration(static_cast<std::int64_t>(backoff * 1e6)));
         ++callersInBackoff_;
         timers_.subscribe(now_ + wait, [this, record](TimePoint) {
@@ -552,7 +552,7 @@
         sendToEntry(node, listener.peer, std::move(end));
     }
     target.executions.erase(position);
-    KeptAnswer answer;
+    CachedAnswer answer;
     answer.outcome = outcome;
     answer.failure = failure;
     answer.status = 200;
--- a/bench/policybench/naive_sidecar.cpp
+++ b/bench/policybench/naive_sidecar.cpp
@@ -148,8 +148,8 @@
 {
 }
 
-void NaiveSidecar::onExecutionEnded(ExecutionHandle execution, const KeptAnswer & /*answer*/, std::uint32_t /*tokens*/,
-                                    Now now)
+void NaiveSidecar::onExecutionEnded(ExecutionHandle execution, const CachedAnswer & /*answer*/,
+                                    std::uint32_t /*tokens*/, Now now)
 {
     const auto position = running_.find(execution);
     if (position == running_.end()) {
--- a/bench/policybench/naive_sidecar.h
+++ b/bench/policybench/naive_sidecar.h
@@ -16,7 +16,7 @@
     void start(Now now);
     void onMessage(PeerHandle from, const wire::Envelope &message, Now now);
     void onExecutionStarted(ExecutionHandle execution, Now now);
-    void onExecutionEnded(ExecutionHandle execution, const KeptAnswer &answer, std::uint32_t tokens, Now now);
+    void onExecutionEnded(ExecutionHandle execution, const CachedAnswer &answer, std::uint32_t tokens, Now now);
     void onOrderDone(OrderHandle order, OrderOutcome outcome, Now now);
     void onEngineList(OrderHandle order, const EngineList &list, Now now);
     void onEngineReport(const EngineReport &report, Now now);
--- a/bench/policybench/scenario.cpp
+++ b/bench/policybench/scenario.cpp
@@ -39,7 +39,7 @@
     void shuffle(Random &random)
     {
         for (std::size_t i = order_.size(); i > 1; --i) {
-            std::swap(order_[i - 1], order_[random.below(i)]);
+            std::swap(order_[i - 1], order_[random.uniformBelow(i)]);
         }
     }
     /// Swaps a share of the ranks, spread over all popularities.
@@ -48,12 +48,12 @@
         const auto count = static_cast<std::size_t>(share * static_cast<double>(order_.size()));
         for (std::size_t i = 0; i < count; ++i) {
             const auto rank = static_cast<std::size_t>(static_cast<double>(i) / share);
-            std::swap(order_[rank], order_[random.below(order_.size())]);
+            std::swap(order_[rank], order_[random.uniformBelow(order_.size())]);
         }
     }
     std::uint32_t sample(Random &random) const
     {
-        const double at = random.unit() * cumulative_.back();
+        const double at = random.uniform() * cumulative_.back();
         const auto rank = std::lower_bound(cumulative_.begin(), cumulative_.end(), at) - cumulative_.begin();
         return order_[std::min<std::size_t>(static_cast<std::size_t>(rank), order_.size() - 1)];
     }
@@ -69,8 +69,8 @@
 
 double sampleNormal(Random &random)
 {
-    const double radius = std::sqrt(-2.0 * std::log(1.0 - random.unit()));
-    return radius * std::cos(2.0 * std::numbers::pi * random.unit());
+    const double radius = std::sqrt(-2.0 * std::log(1.0 - random.uniform()));
+    return radius * std::cos(2.0 * std::numbers::pi * random.uniform());
 }
 
 double rateAt(const Trace &trace, Duration at)
@@ -103,15 +103,15 @@
     TraceCall call;
     call.at = at;
     const double total = rateAt(trace, at) / callsPerArrival(trace.spec) + trace.spec.serviceCallsPerSecond;
-    call.isService = random.unit() * total < trace.spec.serviceCallsPerSecond;
-    call.caller = static_cast<std::uint32_t>(random.below(callerCount));
+    call.isService = random.uniform() * total < trace.spec.serviceCallsPerSecond;
+    call.caller = static_cast<std::uint32_t>(random.uniformBelow(callerCount));
     const bool isPulse = at >= trace.disturbanceStart && at < trace.disturbanceEnd;
-    const bool isFlashCall = trace.scenario == Scenario::Flash && isPulse && random.unit() < 0.5;
+    const bool isFlashCall = trace.scenario == Scenario::Flash && isPulse && random.uniform() < 0.5;
     call.adapter = isFlashCall ? popularity.leastPopular() : popularity.sample(random);
     call.callClass = call.isService ? CallClass::Normal : callClassOf(call.adapter);
     const double output = trace.spec.outputTokens * std::exp(outputSigma * sampleNormal(random));
     call.outputTokens = static_cast<std::uint32_t>(std::clamp(output, 4.0, 2000.0));
-    const double prompt = trace.spec.promptTokens * (0.5 + random.unit());
+    const double prompt = trace.spec.promptTokens * (0.5 + random.uniform());
     call.promptTokens = static_cast<std::uint32_t>(prompt);
     return call;
 }
@@ -120,11 +120,12 @@
 {
     const auto first = sampleCall(trace, at, popularity, random);
     trace.calls.push_back(first);
-    const bool isJob = !first.isService && random.unit() < jobProbability(trace.spec);
+    const bool isJob = !first.isService && random.uniform() < jobProbability(trace.spec);
     if (!isJob) {
         return;
     }
-    const auto extraCalls = static_cast<std::uint32_t>(std::lround(2.0 * (trace.spec.jobSize - 1.0) * random.unit()));
+    const auto extraCalls =
+        static_cast<std::uint32_t>(std::lround(2.0 * (trace.spec.jobSize - 1.0) * random.uniform()));
     for (std::uint32_t i = 0; i < extraCalls; ++i) {
         auto call = sampleCall(trace, at, popularity, random);
         call.isService = false;
--- a/bench/slopes/config_slopes.cpp
+++ b/bench/slopes/config_slopes.cpp
@@ -35,7 +35,7 @@
     Random random(1);
     std::size_t foundCount = 0;
     const double meanMicros = meanCpuMicros(lookups, [&](std::size_t) {
-        foundCount += store.route(routeName(random.below(adapters))).has_value() ? 1 : 0;
+        foundCount += store.route(routeName(random.uniformBelow(adapters))).has_value() ? 1 : 0;
     });
     requireThat(foundCount == lookups, "a route was not found");
     report.addCost("config.lookup", "us", "adapters", {static_cast<double>(adapters), meanMicros});
--- a/bench/slopes/entry_slopes.cpp
+++ b/bench/slopes/entry_slopes.cpp
@@ -157,7 +157,7 @@
     const double finishMicros = meanCpuMicros(calls, [&](std::size_t i) { frameBytes = driver.finishCall(sent[i]); });
     report.addCost("entry.frame", "us", "sidecars", {size, finishMicros / framesPerCall});
     report.addMessageSize("call_frame_one_token", frameBytes);
-    requireThat(driver.stats().finished == calls, "a call did not finish");
+    requireThat(driver.stats().finishedCalls == calls, "a call did not finish");
 }
 
 } // namespace
--- a/bench/slopes/key_value_slopes.cpp
+++ b/bench/slopes/key_value_slopes.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 using test::KvFault;
-using test::VirtualWorld;
+using test::VirtualCluster;
 
 constexpr std::size_t sidecarCount = 177; // 3,900 sidecars in 22 data centres
 
@@ -63,8 +63,8 @@
 {
     std::string name;
     ConfigStore store;
-    std::unique_ptr<ConfigSpread> distributor;
-    std::unique_ptr<LeaseKeeper> schedulerLease; ///< entries only
+    std::unique_ptr<ConfigDistributor> distributor;
+    std::unique_ptr<LeaseHolder> schedulerLease; ///< entries only
 };
 
 /// Processes of one data centre with a key-value service and periodic exchange of revisions.
@@ -86,7 +86,7 @@
         exchangeRevisions();
     }
 
-    VirtualWorld &cluster()
+    VirtualCluster &cluster()
     {
         return cluster_;
     }
@@ -106,15 +106,15 @@
     {
         std::size_t count = 0;
         for (const auto &process : processes_) {
-            count += process->distributor->watching() ? 1 : 0;
+            count += process->distributor->isWatching() ? 1 : 0;
         }
         return count;
     }
 
 private:
-    std::function<void(KvRequest)> countingClient(const VirtualWorld::OnReply &onReply)
+    std::function<void(KvRequest)> countingClient(const VirtualCluster::OnReply &onReply)
     {
-        auto client = cluster_.client(onReply);
+        auto client = cluster_.makeClient(onReply);
         return [this, client](KvRequest request) {
             requests_.add(request, cluster_.now());
             client(std::move(request));
@@ -126,7 +126,7 @@
         processes_.push_back(std::make_unique<Process>());
         Process *process = processes_.back().get();
         process->name = (isEntry ? "entry-" : "sidecar-") + std::to_string(i);
-        ConfigSpread::Init init;
+        ConfigDistributor::Init init;
         init.self = process->name;
         init.incarnation = 1;
         init.dataCentre = "hall-east";
@@ -134,14 +134,14 @@
         init.store = &process->store;
         init.timers = &cluster_.timers;
         init.seed = i + 1;
-        ConfigSpread::Callbacks callbacks;
+        ConfigDistributor::Callbacks callbacks;
         callbacks.submit =
             countingClient([process](const KvReply &reply, Now now) { process->distributor->onReply(reply, now); });
         callbacks.sendToPeer = [this, process](const std::string &peer, const wire::Envelope &message) {
             deliver(process->name, peer, message);
         };
         callbacks.changed = [](Now) {};
-        process->distributor = std::make_unique<ConfigSpread>(init, callbacks);
+        process->distributor = std::make_unique<ConfigDistributor>(init, callbacks);
         if (isEntry) {
             addSchedulerLease(*process, i);
         }
@@ -149,13 +149,13 @@
 
     void addSchedulerLease(Process &process, std::size_t i)
     {
-        LeaseKeeper::Init init;
+        LeaseHolder::Init init;
         init.key = "/anvilscale/scheduler";
         init.holder = process.name;
         init.incarnation = 1;
         init.timers = &cluster_.timers;
         init.seed = i + 1;
-        process.schedulerLease = std::make_unique<LeaseKeeper>(
+        process.schedulerLease = std::make_unique<LeaseHolder>(
             init,
             countingClient([&process](const KvReply &reply, Now now) { process.schedulerLease->onReply(reply, now); }));
     }
@@ -186,21 +186,21 @@
                 if (peer != i) {
                     const Process &from = *processes_[i];
                     processes_[peer]->distributor->onPeerRevision(from.name, from.store.revision(), from.store.digest(),
-                                                                  now, from.distributor->age(now.mono));
+                                                                  now, from.distributor->confirmationAge(now.mono));
                 }
             }
         }
         cluster_.later(Seconds(1), [this](Now) { exchangeRevisions(); });
     }
 
-    VirtualWorld cluster_;
+    VirtualCluster cluster_;
     RequestLog requests_;
     std::vector<std::unique_ptr<Process>> processes_;
     std::size_t entries_ = 0;
 };
 
 /// Applies one change with a separate writer and returns its revision.
-std::uint64_t applyChange(VirtualWorld &cluster, ConfigStore &store, std::size_t number)
+std::uint64_t applyChange(VirtualCluster &cluster, ConfigStore &store, std::size_t number)
 {
     std::uint64_t revision = 0;
     bool isDone = false;
@@ -212,7 +212,7 @@
     init.timers = &cluster.timers;
     init.seed = number;
     writer = std::make_unique<ConfigWriter>(
-        init, cluster.client([&writer](const KvReply &reply, Now now) { writer->onReply(reply, now); }),
+        init, cluster.makeClient([&writer](const KvReply &reply, Now now) { writer->onReply(reply, now); }),
         [&](const ConfigWriter::Result &result, Now) {
             revision = result ? *result : 0;
             isDone = true;
@@ -257,13 +257,13 @@
                        {size, static_cast<double>(centre.requests().total()) - idleRate * elapsed});
         report.addCost("config.spread_s", "s", "entries", {size, elapsed});
 
-        centre.cluster().rule = [](const KvRequest &) { return KvFault::Down; };
+        centre.cluster().faultRule = [](const KvRequest &) { return KvFault::Down; };
         centre.cluster().kv.breakWatches();
         centre.requests().clear();
         centre.cluster().run(Seconds(static_cast<int>(outageSeconds)));
         report.addCost("key_value.outage_tries_per_s", "calls/s", "entries",
                        {size, static_cast<double>(centre.requests().total()) / outageSeconds});
-        centre.cluster().rule = nullptr;
+        centre.cluster().faultRule = nullptr;
         centre.requests().clear();
         centre.cluster().run(Seconds(30));
         report.addCost("key_value.return_peak_per_s", "calls/s", "entries",
--- a/bench/slopes/keys_slopes.cpp
+++ b/bench/slopes/keys_slopes.cpp
@@ -22,7 +22,8 @@
             const KeyDecision decision =
                 keys.admit(generatedKeys[i], i, service, WallTime{startMs - 1000}, ExecutionHandle{i + 1}, now);
             if (decision.kind == KeyDecisionKind::Run) {
-                keys.finish(generatedKeys[i], KeptAnswer{CallOutcome::Complete, FailureReason::None, 200, {}, ""}, now);
+                keys.finish(generatedKeys[i], CachedAnswer{CallOutcome::Complete, FailureReason::None, 200, {}, ""},
+                            now);
             }
         });
         const auto size = static_cast<double>(count);
--- a/include/anvilscale/base.h
+++ b/include/anvilscale/base.h
@@ -118,9 +118,9 @@
     explicit Random(std::uint64_t seed);
     std::uint64_t next();
     /// Uniform in [0, bound); returns 0 if `bound` is 0.
-    std::uint64_t below(std::uint64_t bound);
+    std::uint64_t uniformBelow(std::uint64_t bound);
     /// Uniform in [0, 1).
-    double unit();
+    double uniform();
     /// Exponential with the given mean.
     double exponential(double mean);
     /// Uniform in [span/2, span). Keeps timers of different processes from running in lockstep.
@@ -144,7 +144,7 @@
     std::uint64_t state_ = 0xcbf29ce484222325ULL;
 };
 
-/// Adapter and version by name. Equality compares the names; key64() is a hash for look-up only.
+/// Adapter and version by name. Equality compares the names; hash() is a hash for look-up only.
 struct AdapterVersion
 {
     std::string adapter;
@@ -155,7 +155,7 @@
     {
         return adapter.empty();
     }
-    std::uint64_t key64() const;
+    std::uint64_t hash() const;
     /// Returns "adapter@version" for operators.
     std::string text() const;
 };
--- a/include/anvilscale/direct.h
+++ b/include/anvilscale/direct.h
@@ -117,9 +117,9 @@
     std::string dataCentre;
     std::uint32_t slots = 0; ///< number of calls it processes concurrently
     bool leaving = false;
-    std::uint64_t born = 0; ///< process start in Unix milliseconds, distinguishes incarnations; 0 if unknown
+    std::uint64_t startTimeMs = 0; ///< process start in Unix milliseconds, distinguishes incarnations; 0 if unknown
     std::uint64_t era = 0; ///< era of the store in which this record was read
-    std::uint64_t created = 0; ///< increases with each record created in the store, within an era
+    std::uint64_t createRevision = 0; ///< increases with each record created in the store, within an era
     std::uint64_t revision = 0; ///< store revision of the last change of the record
     std::vector<std::string> models;
     std::vector<HeldAdapter> adapters;
@@ -127,7 +127,7 @@
 };
 
 /// A new version of an adapter, published by the operator.
-struct NamedVersion
+struct PublishedVersion
 {
     std::string model;
     std::string adapter;
@@ -139,7 +139,7 @@
 {
     std::string id;
     bool unreadable = false; ///< a record exists, but is not one of an endpoint
-    Duration heldBack{}; ///< time since the removal was seen; removals are withheld in case the record reappears
+    Duration withheldFor{}; ///< time since the removal was seen; removals are withheld in case the record reappears
     std::uint64_t revision = 0; ///< store revision of the removal; 0 if unknown
 };
 /// Identifies the content of a request. Equal for all repeats of a request, at any entry, although each has its own
@@ -159,13 +159,13 @@
 struct CrashReport
 {
     std::string endpointId;
-    std::uint64_t born = 0; ///< start of the endpoint's process in Unix milliseconds; 0 if unknown
+    std::uint64_t startTimeMs = 0; ///< start of the endpoint's process in Unix milliseconds; 0 if unknown
     std::vector<CallFingerprint> suspects;
 };
 /// Time for which a crash counts against the requests that were in progress.
-constexpr Duration crashReportLife = Seconds(600);
+constexpr Duration crashReportLifetime = Seconds(600);
 
-using StoreRecord = std::variant<DirectConfig, EndpointRecord, EndpointRemoved, NamedVersion, CrashReport>;
+using StoreRecord = std::variant<DirectConfig, EndpointRecord, EndpointRemoved, PublishedVersion, CrashReport>;
 
 // ---- policy
 
@@ -217,16 +217,16 @@
     double failurePenaltyMs = 3000; ///< for an endpoint that fails every call; less in proportion
     double avoidancePenaltyMs = 8000; ///< for an endpoint that is failing, silent or unreachable
     std::uint32_t lateRankOffset = 4; ///< added to the rank of a call that already misses its objective
-    std::bitset<enumCount<Mechanism>> without; ///< disabled mechanisms
+    std::bitset<enumCount<Mechanism>> disabled; ///< disabled mechanisms
 
     bool has(Mechanism mechanism) const
     {
-        return !without.test(static_cast<std::size_t>(mechanism));
+        return !disabled.test(static_cast<std::size_t>(mechanism));
     }
 };
 
 /// Parses names separated by commas; the error is the first unknown name.
-tl::expected<std::bitset<enumCount<Mechanism>>, std::string> readMechanisms(std::string_view names);
+tl::expected<std::bitset<enumCount<Mechanism>>, std::string> parseMechanisms(std::string_view names);
 
 // ---- calls
 
@@ -238,7 +238,7 @@
 };
 
 /// Data of a call, taken from its request.
-struct CallFacts
+struct CallInfo
 {
     std::string requestId;
     CallFingerprint fingerprint;
@@ -248,11 +248,11 @@
     std::string adapter; ///< empty for the model alone
     std::uint32_t promptTokens = 0;
     std::vector<PromptPart> parts; ///< in prompt order; the last one belongs to this call alone
-    Duration patience{}; ///< time for which the caller waits
+    Duration callerTimeout{}; ///< time for which the caller waits
 };
 
-CallFingerprint fingerprintOf(std::string_view method, std::string_view target, std::string_view body,
-                              const CallFacts &facts);
+CallFingerprint computeFingerprint(std::string_view method, std::string_view target, std::string_view body,
+                                   const CallInfo &info);
 
 /// Reason reported by an endpoint that did not run a call.
 enum class EndpointRefusal : std::uint8_t {
@@ -327,7 +327,7 @@
     RefusalReason reason = RefusalReason::None;
 };
 /// Forwards the answer of the last attempt unchanged.
-struct PassAnswer
+struct ForwardAnswer
 {
     CallHandle call;
 };
@@ -338,7 +338,7 @@
     FailureReason reason = FailureReason::None;
 };
 /// Sends the sidecar at this address the demand for its engine.
-struct SendWishes
+struct SendDemand
 {
     std::string address; ///< address of the endpoint
     wire::DirectDemand demand;
@@ -348,7 +348,7 @@
 {
     std::string address;
 };
-using DirectAction = std::variant<SendCall, RefuseCall, PassAnswer, AbandonCall, SendWishes, DropConnections>;
+using DirectAction = std::variant<SendCall, RefuseCall, ForwardAnswer, AbandonCall, SendDemand, DropConnections>;
 
 /// Finds routes by host and longest matching path prefix.
 class RouteTable
@@ -398,7 +398,7 @@
     std::optional<Duration> firstByte;
     Duration longestPause{}; ///< longest interval between two parts of an event stream
     Duration total{};
-    Duration patience{};
+    Duration callerTimeout{};
     std::uint32_t promptTokens = 0;
 };
 
@@ -410,7 +410,7 @@
     std::uint32_t attempt = 0;
     std::string endpointId;
     AttemptResult result;
-    Duration after{}; ///< time since the call was sent
+    Duration elapsed{}; ///< time since the call was sent
 };
 
 struct DirectCallsInit
@@ -449,31 +449,31 @@
     /// Returns true if the endpoint is new, has restarted, or has started to leave.
     bool applyEndpoint(const EndpointRecord &record, TimePoint now);
     void removeEndpoint(const std::string &id, TimePoint now);
-    void applyVersion(const NamedVersion &version, TimePoint now);
+    void applyVersion(const PublishedVersion &version, TimePoint now);
     /// Calls that broke off at an endpoint, as seen by any entry; reports of this entry may be included.
     void applyCrashReport(const CrashReport &report, TimePoint now);
     /// Engine state from the sidecar beside the endpoint at this address.
     void applyState(const std::string &address, const wire::DirectState &state, TimePoint now);
     /// Updates the load figures of a state received before.
     void applyHeartbeat(const std::string &address, const wire::DirectHeartbeat &heartbeat, TimePoint now);
-    void sidecarLost(const std::string &address);
+    void onSidecarLost(const std::string &address);
     /// The store has answered: all its earlier changes have been applied.
-    void storeAnswered(TimePoint now);
+    void onStoreAnswered(TimePoint now);
     /// Address of the endpoint whose sidecar watches the store for this entry; empty if none does. All entries select
     /// the same one, so that a single watch serves them all.
-    std::string storeSharer(TimePoint now) const;
+    std::string sharedWatchAddress(TimePoint now) const;
     /// The sidecar failed or did not answer: selects another one for a while.
-    void storeSharerFailed(const std::string &address, TimePoint now);
+    void onSharedWatchFailed(const std::string &address, TimePoint now);
 
     // Calls.
-    void arrive(CallHandle call, CallFacts facts, TimePoint now);
+    void onCall(CallHandle call, CallInfo info, TimePoint now);
     /// An answer carried a notice of the endpoint. Returns false if it was known already.
-    bool endpointTold(const std::string &endpointId, const EndpointNotice &notice, TimePoint now);
+    bool onEndpointNotice(const std::string &endpointId, const EndpointNotice &notice, TimePoint now);
     /// The endpoint has started its answer.
-    void answerBegan(CallHandle call, std::uint32_t attempt, TimePoint now);
-    void attemptEnded(CallHandle call, std::uint32_t attempt, const AttemptResult &result, TimePoint now);
-    void callerGone(CallHandle call, TimePoint now);
-    /// Checks deadlines and waiting calls and sends demand to sidecars. Called every directTick.
+    void onAnswerStarted(CallHandle call, std::uint32_t attempt, TimePoint now);
+    void onAttemptEnded(CallHandle call, std::uint32_t attempt, const AttemptResult &result, TimePoint now);
+    void onCallerGone(CallHandle call, TimePoint now);
+    /// Checks deadlines and waiting calls and sends demand to sidecars. Called every directTickInterval.
     void tick(TimePoint now);
 
     std::vector<DirectAction> takeActions();
@@ -483,9 +483,9 @@
     std::vector<CrashReport> takeCrashReports();
     /// Requests newly under quarantine, which are sent to no endpoint any more.
     std::vector<CallFingerprint> takeQuarantined();
-    bool configured() const;
+    bool isConfigured() const;
     /// True if callers may be sent here: the configuration, endpoints and engine states are known.
-    bool ready(TimePoint now) const;
+    bool isReady(TimePoint now) const;
     const DirectConfig &config() const;
     std::vector<std::string> engineAddresses() const;
     std::vector<std::string> endpointIds() const;
@@ -497,13 +497,13 @@
 };
 
 /// Interval of DirectCalls::tick; short against the load time of an adapter (about 250 ms).
-constexpr Duration directTick = Milliseconds(50);
+constexpr Duration directTickInterval = Milliseconds(50);
 
 // ---- orders to one engine
 
 struct EngineStateReport
 {
-    std::uint64_t born = 0; ///< start of the engine in Unix milliseconds; 0 if unknown
+    std::uint64_t startTimeMs = 0; ///< start of the engine in Unix milliseconds; 0 if unknown
     bool leaving = false; ///< accepts no new calls
     std::vector<std::string> models;
     std::vector<HeldAdapter> adapters;
@@ -533,8 +533,8 @@
     EngineOrderKind kind = EngineOrderKind::Load;
     std::string model;
     std::string adapter; ///< empty for the model itself
-    std::uint64_t expected = 0; ///< the engine refuses the order if its sequence differs
-    std::uint64_t fence = 0;
+    std::uint64_t expectedSequence = 0; ///< the engine refuses the order if its sequence differs
+    std::uint64_t fencingNumber = 0;
     std::string endpointId;
 };
 
@@ -556,30 +556,30 @@
 };
 
 /// Loads into one engine what the entries demand, within its slots and memory. Sends all orders to this engine.
-class AdapterKeeper
+class AdapterController
 {
 public:
     /// `fencingNumber` increases with each start of the sidecar.
-    explicit AdapterKeeper(std::uint64_t fencingNumber, DirectPolicy policy = {});
-    ~AdapterKeeper();
-    AdapterKeeper(const AdapterKeeper &) = delete;
-    AdapterKeeper &operator=(const AdapterKeeper &) = delete;
+    explicit AdapterController(std::uint64_t fencingNumber, DirectPolicy policy = {});
+    ~AdapterController();
+    AdapterController(const AdapterController &) = delete;
+    AdapterController &operator=(const AdapterController &) = delete;
 
     void applyDemand(PeerHandle peer, const wire::DirectDemand &demand, TimePoint now);
-    void peerLost(PeerHandle peer);
+    void onPeerLost(PeerHandle peer);
     void applyReport(const EngineStateReport &report, TimePoint now);
-    void reportFailed(TimePoint now);
-    void orderEnded(OrderHandle id, EngineOrderResult result, const std::string &incarnation, TimePoint now);
+    void onReportFailed(TimePoint now);
+    void onOrderEnded(OrderHandle id, EngineOrderResult result, const std::string &incarnation, TimePoint now);
     /// The next order, if one is due. At most one is in progress.
     std::optional<EngineOrder> nextOrder(TimePoint now);
     /// After this time the answer to an order counts as lost, and the next order may follow.
     Duration orderTimeout() const;
     /// True until the effect of an order is reported, so that the next report is requested soon.
-    bool waits() const;
+    bool isAwaitingEffect() const;
     /// State for the entries; the caller sets `sequence` and `interval_ms`.
     wire::DirectState state(TimePoint now) const;
     /// True if calls of this entry wait for an adapter.
-    bool waitsFor(PeerHandle peer) const;
+    bool hasWaitingCalls(PeerHandle peer) const;
     /// Changes with everything that entries wait for.
     std::uint64_t revision() const;
     /// Work of all entries in progress or planned at the engine, as prompt tokens; each demanded load counts as a
@@ -594,16 +594,16 @@
 
 /// Selects the message for each entry: the whole state if the entry lacks it, otherwise a heartbeat with the load
 /// figures only.
-class StateNews
+class StatePublisher
 {
 public:
     /// Sets the current engine state, including its `sequence`.
     void update(const wire::DirectState &state);
-    wire::Envelope messageFor(PeerHandle entry);
+    wire::Envelope buildMessage(PeerHandle entry);
     /// The entry has reported which state it has, 0 for none; a lost state is sent again. Entries that never report
     /// one do not support heartbeats and receive whole states.
-    void entryHas(PeerHandle entry, std::uint64_t sequence);
-    void entryLost(PeerHandle entry);
+    void onStateAcknowledged(PeerHandle entry, std::uint64_t sequence);
+    void onEntryLost(PeerHandle entry);
 
 private:
     struct Subscription
--- a/include/anvilscale/direct_path.h
+++ b/include/anvilscale/direct_path.h
@@ -9,17 +9,17 @@
 namespace anvilscale {
 
 /// Why a request cannot be parsed as a call.
-enum class CallProblem : std::uint8_t {
+enum class CallParseError : std::uint8_t {
     NoRequestId,
     BadTimeLeft,
     BadModel,
     Count
 };
 template<>
-struct EnumNames<CallProblem>
+struct EnumNames<CallParseError>
 {
-    static constexpr std::array<std::string_view, enumCount<CallProblem>> table{"no_request_id", "bad_time_left",
-                                                                                "bad_model"};
+    static constexpr std::array<std::string_view, enumCount<CallParseError>> table{"no_request_id", "bad_time_left",
+                                                                                   "bad_model"};
 };
 
 /// Meaning of the response head of an endpoint.
@@ -41,7 +41,7 @@
 {
     AnswerKind kind = AnswerKind::Foreign;
     EndpointRefusal refusal = EndpointRefusal::None;
-    bool events = false; ///< an event stream: forwarded as it arrives
+    bool isEventStream = false; ///< an event stream: forwarded as it arrives
     EndpointNotice notice; ///< empty if another endpoint than the addressed one answered
 };
 
@@ -67,24 +67,24 @@
 {
     std::vector<StoreRecord> records;
     std::uint64_t revision = 0; ///< revision of the store
-    bool more = false; ///< further pages follow `lastKey`
+    bool hasMore = false; ///< further pages follow `lastKey`
     std::string lastKey;
-    std::size_t rejected = 0; ///< unreadable records, which were skipped
+    std::size_t rejectedRecords = 0; ///< unreadable records, which were skipped
 };
 
 /// One change in the store, parsed and in its encoded form.
-struct StoreItem
+struct StoreChange
 {
     StoreRecord record;
     std::uint64_t revision = 0; ///< revision of the store at the change
-    std::string text;
+    std::string encoded;
 };
 
 /// Changes of the store in revision order.
 struct StoreChanges
 {
     std::uint64_t revision = 0; ///< revision up to which the changes are complete
-    std::vector<StoreItem> items; ///< without records that the system does not use
+    std::vector<StoreChange> items; ///< without records that the system does not use
 };
 
 /// A crash report with its unique name. Writing the same name again replaces the report.
@@ -166,7 +166,7 @@
 {
     {
         T::readCall(request)
-        } -> std::same_as<tl::expected<CallFacts, CallProblem>>;
+        } -> std::same_as<tl::expected<CallInfo, CallParseError>>;
     {
         T::callRequest(request, send, span)
         } -> std::same_as<EndpointRequest>;
--- a/include/anvilscale/endpoint.h
+++ b/include/anvilscale/endpoint.h
@@ -52,9 +52,9 @@
     Duration reportInterval = Milliseconds(500);
     Duration connectTimeout = Seconds(2);
     Duration cancelGrace = Milliseconds(300); ///< how long to wait for the endpoint to confirm a cancel by closing
-    std::size_t windowBytes = 256U << 10; ///< maximum read ahead of the slowest listener
-    std::uint32_t threads = 2; ///< number of threads that calls are distributed over
-    std::size_t answerBytes = 4U << 20; ///< maximum size of an answer kept for late listeners and repeats
+    std::size_t maxReadAheadBytes = 256U << 10; ///< maximum read ahead of the slowest listener
+    std::uint32_t threadCount = 2; ///< number of threads that calls are distributed over
+    std::size_t maxKeptAnswerBytes = 4U << 20; ///< maximum size of an answer kept for late listeners and repeats
 };
 
 struct EndpointStats
@@ -62,24 +62,24 @@
     std::uint64_t requests = 0;
     std::uint64_t connections = 0;
     std::uint64_t connectFailures = 0;
-    std::uint64_t broken = 0; ///< answers that ended before they were complete
+    std::uint64_t brokenAnswers = 0; ///< answers that ended before they were complete
     std::uint64_t cancels = 0;
     std::uint64_t unconfirmedCancels = 0;
     std::uint64_t reportFailures = 0;
-    std::uint32_t running = 0;
-    std::uint32_t listeners = 0;
+    std::uint32_t runningCalls = 0;
+    std::uint32_t listenerCount = 0;
 
     void add(const EndpointStats &other)
     {
         requests += other.requests;
         connections += other.connections;
         connectFailures += other.connectFailures;
-        broken += other.broken;
+        brokenAnswers += other.brokenAnswers;
         cancels += other.cancels;
         unconfirmedCancels += other.unconfirmedCancels;
         reportFailures += other.reportFailures;
-        running += other.running;
-        listeners += other.listeners;
+        runningCalls += other.runningCalls;
+        listenerCount += other.listenerCount;
     }
 };
 
@@ -105,12 +105,12 @@
     struct Handlers
     {
         std::function<void(PeerHandle, const wire::Envelope &)> send;
-        std::function<void(ExecutionHandle)> started;
-        std::function<void(ExecutionHandle, KeptAnswer, std::uint32_t generatedTokens)> ended;
-        std::function<void(OrderHandle, OrderOutcome)> orderDone;
-        std::function<void(OrderHandle, EngineList)> list;
-        std::function<void(EngineReport)> report;
-        std::function<void()> lost;
+        std::function<void(ExecutionHandle)> onStarted;
+        std::function<void(ExecutionHandle, CachedAnswer, std::uint32_t generatedTokens)> onEnded;
+        std::function<void(OrderHandle, OrderOutcome)> onOrderDone;
+        std::function<void(OrderHandle, EngineList)> onList;
+        std::function<void(EngineReport)> onReport;
+        std::function<void()> onUnreachable;
     };
     Endpoint(EndpointInit init, Handlers handlers);
     ~Endpoint();
@@ -128,7 +128,7 @@
     void order(SendOrder action);
     void credit(PeerHandle peer, const wire::CallCredit &credit);
     /// Removes the listener from finished executions. Running executions are stopped by cancel().
-    void listenerGone(PeerHandle peer, const wire::AttemptId &id);
+    void listenerDisconnected(PeerHandle peer, const wire::AttemptId &id);
     void peerLost(PeerHandle peer);
     /// Starts polling the endpoint for reports.
     void startReports();
--- a/include/anvilscale/net.h
+++ b/include/anvilscale/net.h
@@ -73,7 +73,7 @@
 bool isHopByHop(std::string_view name);
 
 /// Why an HTTP message was rejected.
-enum class HttpProblem : std::uint8_t {
+enum class HttpError : std::uint8_t {
     None,
     BadHead,
     HeadTooLarge,
@@ -87,22 +87,22 @@
     Count
 };
 template<>
-struct EnumNames<HttpProblem>
+struct EnumNames<HttpError>
 {
-    static constexpr std::array<std::string_view, enumCount<HttpProblem>> table{"none",
-                                                                                "bad_head",
-                                                                                "head_too_large",
-                                                                                "bad_body",
-                                                                                "body_too_large",
-                                                                                "unsupported_encoding",
-                                                                                "expectation_failed",
-                                                                                "head_timeout",
-                                                                                "body_timeout",
-                                                                                "connection_limit"};
+    static constexpr std::array<std::string_view, enumCount<HttpError>> table{"none",
+                                                                              "bad_head",
+                                                                              "head_too_large",
+                                                                              "bad_body",
+                                                                              "body_too_large",
+                                                                              "unsupported_encoding",
+                                                                              "expectation_failed",
+                                                                              "head_timeout",
+                                                                              "body_timeout",
+                                                                              "connection_limit"};
 };
 
 /// Status code of the response to a message rejected for this reason.
-std::uint32_t statusOf(HttpProblem problem);
+std::uint32_t statusOf(HttpError reason);
 
 /// Incremental parser of a message body that is framed by its length, in chunks, or by the end of the connection.
 class HttpBodyReader
@@ -161,10 +161,10 @@
 };
 
 /// Parses a complete head, including the final empty line. Rejects ambiguous heads, which allow request smuggling.
-tl::expected<std::pair<HttpRequestData, HttpBodyReader>, HttpProblem> parseRequestHead(std::string_view head,
-                                                                                       std::uint64_t maxBodyBytes);
+tl::expected<std::pair<HttpRequestData, HttpBodyReader>, HttpError> parseRequestHead(std::string_view head,
+                                                                                     std::uint64_t maxBodyBytes);
 /// `isHeadRequest`: the response to a HEAD request, which has no body.
-tl::expected<HttpResponseHead, HttpProblem> parseResponseHead(std::string_view head, bool isHeadRequest);
+tl::expected<HttpResponseHead, HttpError> parseResponseHead(std::string_view head, bool isHeadRequest);
 /// Formats the head of a request with a body of `bodyBytes` bytes.
 std::string formatRequestHead(std::string_view method, std::string_view target, std::string_view host,
                               const HttpHeaders &headers, std::size_t bodyBytes, bool keepAlive);
@@ -180,7 +180,7 @@
     std::uint32_t status = 200;
     HttpHeaders headers;
     std::string body;
-    bool close = false;
+    bool closesConnection = false;
 };
 
 enum class NetErrorKind : std::uint8_t {
@@ -208,23 +208,23 @@
     std::string address;
     std::uint16_t port = 0;
     std::uint32_t threads = 1;
-    std::uint32_t headLimit = 16U << 10;
-    std::uint64_t bodyLimit = 4U << 20;
-    std::uint32_t connectionLimit = 1024;
+    std::uint32_t maxHeadBytes = 16U << 10;
+    std::uint64_t maxBodyBytes = 4U << 20;
+    std::uint32_t maxConnections = 1024;
     Duration headTimeout = Seconds(10);
     Duration bodyTimeout = Seconds(30);
     Duration idleTimeout = Seconds(60); ///< of a keep-alive connection without a request
     Duration writeTimeout = Seconds(10); ///< a connection that accepts no bytes for this long is closed
-    std::size_t holdBytes = 32U << 10; ///< of a non-streamed response, buffered until it is known to be complete
+    std::size_t maxHeldBytes = 32U << 10; ///< of a non-streamed response, buffered until it is known to be complete
 };
 
 struct HttpServerStats
 {
-    Counters<HttpProblem> problems;
+    Counters<HttpError> errors;
     std::uint64_t connections = 0;
     std::uint64_t requests = 0;
     std::uint64_t slowReadersCut = 0;
-    std::uint32_t open = 0;
+    std::uint32_t openConnections = 0;
 };
 
 /// HTTP/1.1 server that multiplexes its connections over a few threads. Requests of a connection are dispatched one
@@ -238,11 +238,11 @@
         /// A complete request. Called on a traffic thread.
         std::function<void(HttpExchange, HttpRequestData)> request;
         /// The caller disconnected, or was disconnected, before its response ended. Called on a traffic thread.
-        std::function<void(HttpExchange, FailureReason)> gone;
+        std::function<void(HttpExchange, FailureReason)> disconnected;
         /// `bytes` more of the body were written to the caller's connection. Called on a traffic thread.
-        std::function<void(HttpExchange, std::uint64_t bytes)> taken;
+        std::function<void(HttpExchange, std::uint64_t bytes)> bytesSent;
         /// Returns the response to a rejected message.
-        std::function<HttpReply(HttpProblem)> problem;
+        std::function<HttpReply(HttpError)> errorReply;
     };
 
     static tl::expected<std::unique_ptr<HttpServer>, NetError> create(HttpServerInit init, Handlers handlers);
@@ -297,7 +297,7 @@
     std::string host; ///< the address it is sent to if empty
     HttpHeaders headers;
     std::string body;
-    bool freshConnection = false; ///< never reuses an idle connection, which the endpoint may be closing
+    bool needsNewConnection = false; ///< never reuses an idle connection, which the endpoint may be closing
 };
 
 /// Outcome of an exchange with an endpoint.
@@ -325,11 +325,11 @@
     std::string address; ///< "IP:PORT"
     Duration connectTimeout{};
     Duration cancelGrace{};
-    Duration keepIdle = Milliseconds(900); ///< an idle connection is reused up to this age
+    Duration maxIdleTime = Milliseconds(900); ///< an idle connection is reused up to this age
     /// If the server sends a Keep-Alive timeout, that timeout less this margin is used instead of maxIdleTime. 0
     /// ignores the header.
-    Duration keepMargin{};
-    std::size_t keepConnections = 64;
+    Duration idleMargin{};
+    std::size_t maxIdleConnections = 64;
 };
 
 struct HttpClientCounts
@@ -358,7 +358,7 @@
     void abort(ExchangeId id);
     void pause(ExchangeId id, bool isPaused);
     /// Closes all idle connections; those in use are not affected.
-    void dropIdle();
+    void closeIdleConnections();
     const HttpClientCounts &counts() const;
 
 private:
@@ -368,7 +368,7 @@
 
 // ---- bodies of model calls
 
-enum class BodyProblem : std::uint8_t {
+enum class BodyError : std::uint8_t {
     None,
     NotJson,
     NotUtf8,
@@ -380,9 +380,9 @@
     Count
 };
 template<>
-struct EnumNames<BodyProblem>
+struct EnumNames<BodyError>
 {
-    static constexpr std::array<std::string_view, enumCount<BodyProblem>> table{
+    static constexpr std::array<std::string_view, enumCount<BodyError>> table{
         "none", "not_json", "not_utf8", "too_deep", "not_object", "model_missing", "member_twice", "wrong_type"};
 };
 
@@ -396,7 +396,7 @@
     std::uint64_t prefixHash = 0; ///< hash of the beginning of the prompt; 0 if there is none
 };
 
-tl::expected<ModelCallInfo, BodyProblem> readModelCall(std::string_view body, std::uint32_t maxDepth);
+tl::expected<ModelCallInfo, BodyError> readModelCall(std::string_view body, std::uint32_t maxDepth);
 /// Returns the body with "model" and, if given, "priority" replaced at the top level; all other bytes are unchanged.
 /// `body` must have passed readModelCall().
 std::string rewriteModelCall(std::string_view body, std::string_view model, std::optional<int> priority);
@@ -422,7 +422,7 @@
 };
 
 /// How the loss of a connection without a reset is detected.
-enum class LifeSign : std::uint8_t {
+enum class LivenessCheck : std::uint8_t {
     Heartbeats, ///< ZeroMQ heartbeats in both directions
     /// TCP keep-alive probes of the kernel, at no cost to the processes. A target that has sent a message must send
     /// several more within each silence timeout, or its connection is closed.
@@ -437,8 +437,8 @@
     std::string name;
     std::uint64_t incarnation = 0;
     Duration heartbeat = Milliseconds(500);
-    Duration silence = Milliseconds(2500); ///< a connection without proof of liveness for this long is closed
-    LifeSign lifeSign = LifeSign::Heartbeats;
+    Duration silenceTimeout = Milliseconds(2500); ///< a connection without proof of liveness for this long is closed
+    LivenessCheck livenessCheck = LivenessCheck::Heartbeats;
     std::size_t maxMessageBytes = 16U << 20;
     std::size_t maxQueuedBytes = 64U << 20; ///< of all messages waiting to be sent
     std::size_t maxConnectQueue = 64; ///< messages that may wait for a connection to be established
--- a/include/anvilscale/platform.h
+++ b/include/anvilscale/platform.h
@@ -78,7 +78,7 @@
     std::string value;
     std::int64_t modRevision = 0;
     std::uint64_t lease = 0;
-    bool deleted = false; ///< set in watch events only
+    bool isDeleted = false; ///< set in watch events only
 };
 
 /// Reply to a request. Each request gets one, in any order; a watch gets further ones with `isEvent` set.
@@ -86,7 +86,7 @@
 {
     KvHandle id;
     KvStatus status = KvStatus::Ok;
-    bool event = false;
+    bool isEvent = false;
     std::vector<KvEntry> entries = {};
     std::int64_t storeRevision = 0;
     std::uint64_t lease = 0;
--- a/include/anvilscale/residency.h
+++ b/include/anvilscale/residency.h
@@ -55,7 +55,7 @@
     bool keepAnswer = false; ///< the body is passed to onExecutionEnded
     /// From this time on the call must not be sent and ends as not sent. Prevents a process that was paused after the
     /// decision from sending to an endpoint that has since left or restarted without the adapter.
-    TimePoint sendBefore = TimePoint::max();
+    TimePoint sendDeadline = TimePoint::max();
 };
 /// Maximum time from the decision to start a call to its send. Passing it between threads takes well under a
 /// millisecond, so a longer delay means that the process was paused.
@@ -75,18 +75,18 @@
     wire::AttemptId id;
 };
 /// Closes the connection to the endpoint; onExecutionEnded reports the confirmed end. Listeners that are still attached
-/// get an end frame with the reason `why`.
+/// get an end frame with `reason`.
 struct CancelExecution
 {
     ExecutionHandle execution;
-    FailureReason why = FailureReason::CallerGone;
+    FailureReason reason = FailureReason::CallerGone;
 };
 /// Sends a finished answer as frames and an end frame.
 struct ReplayAnswer
 {
     PeerHandle to;
     wire::AttemptId id;
-    std::shared_ptr<const KeptAnswer> answer;
+    std::shared_ptr<const CachedAnswer> answer;
     std::uint64_t creditBytes = 0; ///< initial credit of the repeated request
 };
 /// Sends an order to the engine; its reply is reported by onOrderDone or onEngineList.
@@ -165,7 +165,7 @@
 /// Overload control options. Production uses the defaults.
 struct OverloadOptions
 {
-    QueuePolicy order = QueuePolicy::Deadline;
+    QueuePolicy queuePolicy = QueuePolicy::Deadline;
     bool attachRepeats = true; ///< attach a repeat to the running execution of its key
     bool refuseUnreachable = true; ///< refuse a call at once if it can't meet its deadline
 };
@@ -236,7 +236,7 @@
     /// The first byte of the endpoint's answer was received.
     void onExecutionStarted(ExecutionHandle execution, Now now);
     /// The execution ended. Only the failure EndpointUnreachable proves that nothing was sent to the endpoint.
-    void onExecutionEnded(ExecutionHandle execution, KeptAnswer answer, std::uint32_t generatedTokens, Now now);
+    void onExecutionEnded(ExecutionHandle execution, CachedAnswer answer, std::uint32_t generatedTokens, Now now);
     void onOrderDone(OrderHandle order, OrderOutcome outcome, Now now);
     void onEngineList(OrderHandle order, const EngineList &list, Now now);
     void onEngineReport(const EngineReport &report, Now now);
@@ -258,7 +258,7 @@
     /// Returns state, pins and waiting calls of each tracked adapter, for `anvilctl adapters`.
     std::vector<wire::AdapterState> adapters() const;
     /// True once a drain has started.
-    bool leaving() const;
+    bool isLeaving() const;
 
 private:
     struct Impl;
--- a/include/anvilscale/routing.h
+++ b/include/anvilscale/routing.h
@@ -23,7 +23,7 @@
     std::optional<Duration> deadline; ///< set by the caller; the deadline of the route if unset
     std::string key; ///< Idempotency-Key, empty if none
     std::string caller; ///< caller identity, used for fair queueing; empty if unknown
-    bool stream = false;
+    bool isStreaming = false;
     std::string method;
     std::string path;
     std::vector<std::pair<std::string, std::string>> headers;
@@ -53,7 +53,7 @@
 struct DeliverFrame
 {
     CallHandle call;
-    bool begin = false;
+    bool isFirst = false;
     std::uint32_t status = 0;
     std::vector<std::pair<std::string, std::string>> headers;
     std::string data;
@@ -62,7 +62,7 @@
 struct FinishCall
 {
     CallHandle call;
-    bool replayed = false;
+    bool isReplayed = false;
 };
 /// The call fails. Reported as an HTTP status, or as an error event of the stream once a frame has been delivered.
 struct FailCall
@@ -112,22 +112,22 @@
     Counters<Verdict> verdicts;
     Counters<FailureReason> failures;
     std::uint64_t calls = 0;
-    std::uint64_t finished = 0;
+    std::uint64_t finishedCalls = 0;
     std::uint64_t attempts = 0;
     std::uint64_t droppedFrames = 0; ///< frames that matched no open attempt
     std::uint64_t brokenAnswers = 0; ///< answers that did not match their end frame
-    std::uint32_t open = 0;
+    std::uint32_t openCalls = 0;
 };
 
 /// How a call on a route would be handled now. Used by `anvilctl explain`.
 struct RouteExplanation
 {
-    bool known = false;
+    bool isKnown = false;
     AdapterVersion target;
     std::uint64_t revision = 0;
     std::vector<std::string> resident;
     std::vector<std::string> loading;
-    std::string choice; ///< sidecar that would be chosen; empty if none
+    std::string chosenSidecar; ///< sidecar that would be chosen; empty if none
     RefusalReason refusal = RefusalReason::None;
 };
 
@@ -144,13 +144,13 @@
     /// The caller closed its connection or was disconnected as a slow reader.
     void onCallerGone(CallHandle call, FailureReason reason, Now now);
     /// The caller has read `bytes` more of the answer.
-    void onCallerTook(CallHandle call, std::uint64_t bytes, Now now);
+    void onCallerRead(CallHandle call, std::uint64_t bytes, Now now);
     /// A message from a sidecar.
     void onMessage(const std::string &sidecar, const wire::Envelope &message, Now now);
     /// The message of the attempt was provably not sent to the sidecar.
     void onSendFailed(const std::string &sidecar, const wire::AttemptId &id, Now now);
     /// The connection to the sidecar broke. Messages in flight in both directions are lost.
-    void onConversationLost(const std::string &sidecar, Now now);
+    void onConnectionLost(const std::string &sidecar, Now now);
     void onMember(const Member &member, Now now);
     void onConfigChanged(Now now);
     /// The slot table of a service was read or has changed.
@@ -179,7 +179,7 @@
 
     void onCall(CallHandle call, CallerRequest request, Now now);
     void onCallerGone(CallHandle call, FailureReason reason, Now now);
-    void onCallerTook(CallHandle call, std::uint64_t bytes, Now now);
+    void onCallerRead(CallHandle call, std::uint64_t bytes, Now now);
     void onMessage(const std::string &sidecar, const wire::Envelope &message, Now now);
     void onSendFailed(const std::string &sidecar, const wire::AttemptId &id, Now now);
     void onMember(const Member &member, Now now);
@@ -222,7 +222,7 @@
     void onLoadResult(const wire::LoadResult &result, Now now);
     void onMember(const Member &member, Now now);
     /// The lease was acquired. Loads granted by the previous holder may still be running.
-    void onTakeOver(Now now);
+    void onLeaseAcquired(Now now);
     std::vector<SendToSidecar> takeActions();
     const Stats &stats() const;
 
--- a/include/anvilscale/state.h
+++ b/include/anvilscale/state.h
@@ -199,7 +199,7 @@
 /// Acquires and holds one key in the key-value service under a lease, with a fencing number that increases with every
 /// acquisition. Callers check mayAct() directly before each effect: the lease is counted from before its last
 /// keep-alive was sent, so a holder that was paused detects by its own monotonic clock that its lease has expired.
-class LeaseKeeper
+class LeaseHolder
 {
 public:
     struct Init
@@ -214,8 +214,8 @@
         StateSafeguards safeguards = {};
     };
     /// Requests are passed to `submit`; their replies go to onReply() with the same handle.
-    LeaseKeeper(Init init, std::function<void(KvRequest)> submit);
-    ~LeaseKeeper();
+    LeaseHolder(Init init, std::function<void(KvRequest)> submit);
+    ~LeaseHolder();
     void start(Now now);
     /// Revokes the lease.
     void stop(Now now);
@@ -234,7 +234,7 @@
 
 /// Watches one key or a key range: one full read, then a watch from the next revision. A broken watch resumes after the
 /// last revision received; if the service has compacted it, the range is read again.
-class KeyFollower
+class KeyWatcher
 {
 public:
     struct Init
@@ -246,16 +246,16 @@
         std::uint64_t seed = 1;
     };
     /// `changed` receives all entries after a full read (`full`), otherwise only those changed or deleted.
-    KeyFollower(Init init, std::function<void(KvRequest)> submit,
-                std::function<void(const std::vector<KvEntry> &, bool full, Now)> changed);
-    ~KeyFollower();
+    KeyWatcher(Init init, std::function<void(KvRequest)> submit,
+               std::function<void(const std::vector<KvEntry> &, bool full, Now)> changed);
+    ~KeyWatcher();
     void start(Now now);
     void stop();
     bool onReply(const KvReply &reply, Now now);
     /// Time of the last full read or event; nullopt before the first.
     std::optional<TimePoint> lastUpdateAt() const;
     /// Returns true while the watch is established.
-    bool watching() const;
+    bool isWatching() const;
 
 private:
     struct Impl;
@@ -264,7 +264,7 @@
 
 /// Keeps a ConfigStore up to date. A few processes per data centre watch the head in the key-value service; all others
 /// receive deltas and digests from peers. Invariant: the store only moves to a higher revision.
-class ConfigSpread
+class ConfigDistributor
 {
 public:
     struct Init
@@ -286,7 +286,7 @@
         std::function<void(KvRequest)> submit;
         std::function<void(const std::string &peer, wire::Envelope message)> sendToPeer;
         std::function<void(Now)> changed; ///< the store's revision has increased
-        std::function<void(const ConfigError &, Now)> refused = nullptr; ///< a change that cannot be applied
+        std::function<void(const ConfigError &, Now)> rejected = nullptr; ///< a change that cannot be applied
     };
     struct Stats
     {
@@ -300,8 +300,8 @@
         std::uint64_t digestMismatches = 0;
         std::uint64_t stalePeriods = 0; ///< number of times that stale() became true
     };
-    ConfigSpread(Init init, Callbacks callbacks);
-    ~ConfigSpread();
+    ConfigDistributor(Init init, Callbacks callbacks);
+    ~ConfigDistributor();
     void start(Now now);
     bool onReply(const KvReply &reply, Now now);
     /// Processes the configuration state in a peer's heartbeat or Hello. `age` is the peer's age(): the time since its
@@ -314,12 +314,12 @@
     /// Answers a peer's request for missing revisions.
     void onFetch(const std::string &peer, const wire::ConfigFetch &fetch, Now now);
     /// Returns true if the head was not confirmed for longer than staleAfter, neither by the service nor by a peer.
-    bool stale() const;
+    bool isStale() const;
     /// Time since the store was last confirmed to be at the head; sent with heartbeats and Hello.
-    Duration age(TimePoint now) const;
+    Duration confirmationAge(TimePoint now) const;
     /// Returns true until the first configuration was received from the service or a peer.
-    bool empty() const;
-    bool watching() const; ///< returns true while holding a watcher lease
+    bool isEmpty() const;
+    bool isWatching() const; ///< returns true while holding a watcher lease
     const Stats &stats() const;
 
 private:
@@ -366,12 +366,12 @@
 
 /// Returns the time stamp of an Idempotency-Key, or nullopt if it is not a UUIDv7 (RFC 9562), whose first 48 bits are
 /// milliseconds since 1970.
-std::optional<WallTime> keyTime(std::string_view key);
+std::optional<WallTime> parseKeyTime(std::string_view key);
 std::string makeKey(WallTime now, Random &random);
 std::uint32_t slotOf(std::string_view key, std::uint32_t slots);
 
 /// Answer of a finished execution, cached for repeated calls.
-struct KeptAnswer
+struct CachedAnswer
 {
     CallOutcome outcome = CallOutcome::Unknown;
     FailureReason failure = FailureReason::None;
@@ -398,9 +398,9 @@
 {
     KeyDecisionKind kind = KeyDecisionKind::Refuse;
     ExecutionHandle execution; ///< Attach
-    std::shared_ptr<const KeptAnswer> answer; ///< Replay
+    std::shared_ptr<const CachedAnswer> answer; ///< Replay
     RefusalReason reason = RefusalReason::None; ///< Refuse
-    bool provedNotRun = false; ///< Refuse
+    bool isProvenNotRun = false; ///< Refuse
 };
 
 /// Keys seen by the owner of a service's slots. Invariants: a registered key is kept until its stamp is older than the
@@ -426,7 +426,7 @@
     void release(std::string_view key);
     /// Records the end of an execution. Answers beyond the memory limit are dropped but the key is kept; a repeat then
     /// gets an unknown outcome.
-    void finish(std::string_view key, KeptAnswer answer, Now now);
+    void finish(std::string_view key, CachedAnswer answer, Now now);
     /// Removes keys older than the window.
     void expire(const ServiceView &service, Now now);
     std::size_t size() const;
@@ -445,9 +445,9 @@
 /// Ownership of one slot of a service by this sidecar.
 struct SlotOwnership
 {
-    bool owned = false;
+    bool isOwned = false;
     std::uint64_t fence = 0;
-    WallTime takenAt; ///< takeover time plus margin; older keys are refused with an unknown outcome
+    WallTime minKeyTime; ///< takeover time plus margin; older keys are refused with an unknown outcome
 };
 
 /// Claims and maintains this sidecar's share of a service's slots in the service's slot table.
@@ -470,7 +470,7 @@
         std::function<void(const std::string &member, wire::Envelope message)> send = nullptr;
         /// Called when a slot starts to be refused, before its keys are exported. Calls waiting to start must be
         /// refused as not run and their keys released, so that the receiver may run them.
-        std::function<void(std::uint32_t slot)> beforeGiving = nullptr;
+        std::function<void(std::uint32_t slot)> beforeTransfer = nullptr;
         StateSafeguards safeguards = {};
     };
     SlotOwner(Init init, std::function<void(KvRequest)> submit);
@@ -485,7 +485,7 @@
     /// Starts transferring all slots: their keys are sent first, then the table names the receivers.
     void drain(Now now);
     /// Returns true once a drain is finished and the table lists no slot of this sidecar.
-    bool drained() const;
+    bool isDrained() const;
     /// Imports the keys and acknowledges them. Returns false if the part is not accepted.
     bool onHandover(const wire::SlotHandover &part, Now now);
     void onHandoverAck(const wire::SlotHandoverAck &ack, Now now);
--- a/include/anvilscale/telemetry.h
+++ b/include/anvilscale/telemetry.h
@@ -111,7 +111,7 @@
 /// Sets the minimum level. Thread-safe.
 void setLogLevel(LogLevel level);
 /// Converts a duration to whole milliseconds, for log fields.
-constexpr std::int64_t wholeMs(Duration span)
+constexpr std::int64_t toMilliseconds(Duration span)
 {
     return std::chrono::duration_cast<Milliseconds>(span).count();
 }
--- a/src/base/random.cpp
+++ b/src/base/random.cpp
@@ -55,25 +55,25 @@
     return result;
 }
 
-std::uint64_t Random::below(std::uint64_t bound)
+std::uint64_t Random::uniformBelow(std::uint64_t bound)
 {
     return bound == 0 ? 0 : next() % bound;
 }
 
-double Random::unit()
+double Random::uniform()
 {
     return static_cast<double>(next() >> 11) * 0x1.0p-53;
 }
 
 double Random::exponential(double mean)
 {
-    return -mean * std::log1p(-unit());
+    return -mean * std::log1p(-uniform());
 }
 
 Duration Random::jitter(Duration span)
 {
     const auto half = static_cast<std::uint64_t>(span.count() / 2);
-    return Duration(static_cast<Duration::rep>(half + below(half)));
+    return Duration(static_cast<Duration::rep>(half + uniformBelow(half)));
 }
 
 std::uint64_t hash64(std::string_view bytes, std::uint64_t seed)
@@ -91,7 +91,7 @@
     return mix(state_);
 }
 
-std::uint64_t AdapterVersion::key64() const
+std::uint64_t AdapterVersion::hash() const
 {
     return hash64(version, hash64(adapter));
 }
--- a/src/daemon/caller_api.cpp
+++ b/src/daemon/caller_api.cpp
@@ -101,7 +101,7 @@
         return badRequestReply("X-Deadline-Ms is not a number of milliseconds");
     }
     call.route = info->model;
-    call.stream = info->stream;
+    call.isStreaming = info->stream;
     call.maxTokens = info->maxTokens;
     call.promptTokens = info->promptTokens;
     call.prefixHash = info->prefixHash;
--- a/src/daemon/caller_reply.cpp
+++ b/src/daemon/caller_reply.cpp
@@ -65,7 +65,7 @@
     {502, "the answer did not arrive whole"},
 }};
 
-constexpr std::array<std::string_view, enumCount<HttpProblem>> httpErrorMessages{
+constexpr std::array<std::string_view, enumCount<HttpError>> httpErrorMessages{
     "",
     "the head of the request is not valid",
     "the head of the request is too large",
@@ -78,7 +78,7 @@
     "too many connections",
 };
 
-constexpr std::array<std::string_view, enumCount<BodyProblem>> bodyErrorMessages{
+constexpr std::array<std::string_view, enumCount<BodyError>> bodyErrorMessages{
     "",
     "the body is not JSON",
     "the body is not UTF-8",
@@ -134,9 +134,9 @@
     return errorReply(error, message);
 }
 
-HttpReply httpErrorReply(HttpProblem httpError)
+HttpReply httpErrorReply(HttpError httpError)
 {
-    const bool isConnectionLimit = httpError == HttpProblem::ConnectionLimit;
+    const bool isConnectionLimit = httpError == HttpError::ConnectionLimit;
     CallError error;
     error.verdict = Verdict::NotRun;
     error.refusal = isConnectionLimit ? RefusalReason::ConnectionLimit : RefusalReason::BadRequest;
@@ -146,7 +146,7 @@
     return reply;
 }
 
-HttpReply bodyErrorReply(BodyProblem bodyError)
+HttpReply bodyErrorReply(BodyError bodyError)
 {
     return refusalReply(RefusalReason::BadRequest, bodyErrorMessages[static_cast<std::size_t>(bodyError)]);
 }
--- a/src/daemon/crash_reporter.h
+++ b/src/daemon/crash_reporter.h
@@ -69,7 +69,7 @@
     {
         lease_ = 0;
         const auto now = loop_.now();
-        while (!writtenReports_.empty() && now - writtenReports_.front().writtenAt >= crashReportLife) {
+        while (!writtenReports_.empty() && now - writtenReports_.front().writtenAt >= crashReportLifetime) {
             writtenReports_.pop_front();
         }
         if (writtenReports_.empty()) {
@@ -111,7 +111,7 @@
         HttpClientInit result;
         result.address = init.address;
         result.connectTimeout = init.times.silenceTimeout;
-        result.keepConnections = 0;
+        result.maxIdleConnections = 0;
         return result;
     }
 
@@ -131,7 +131,7 @@
     void requestLease()
     {
         // Used for new reports for half of its duration, so that the last one is valid for the other half.
-        const auto leaseDuration = crashReportLife;
+        const auto leaseDuration = crashReportLifetime;
         startCall(Dialect::leaseRequest(leaseDuration),
                   [this, usableUntil = loop_.now() + leaseDuration / 2](const std::string &body) {
                       const auto lease = Dialect::readLease(body);
--- a/src/daemon/direct_entry.h
+++ b/src/daemon/direct_entry.h
@@ -146,7 +146,7 @@
     tl::expected<void, StartError> listen()
     {
         MessengerInit init = messengerInit(settings_, incarnation_);
-        init.lifeSign = LifeSign::KeepAlive; // sidecars send engine state twice a second
+        init.livenessCheck = LivenessCheck::KeepAlive; // sidecars send engine state twice a second
         auto messenger = Messenger::create(init, messengerHandlers());
         if (!messenger) {
             return tl::unexpected(makeStartError(StartErrorKind::ControlAddress, "control", messenger.error()));
@@ -196,9 +196,11 @@
         handlers.request = [this](HttpExchange exchange, HttpRequestData request) {
             relay_.onRequest(exchange, std::move(request));
         };
-        handlers.gone = [this](HttpExchange exchange, FailureReason) { relay_.onCallerDisconnected(exchange); };
-        handlers.taken = [this](HttpExchange exchange, std::uint64_t bytes) { relay_.onBytesSent(exchange, bytes); };
-        handlers.problem = [](HttpProblem problem) { return httpErrorReply(problem); };
+        handlers.disconnected = [this](HttpExchange exchange, FailureReason) { relay_.onCallerDisconnected(exchange); };
+        handlers.bytesSent = [this](HttpExchange exchange, std::uint64_t bytes) {
+            relay_.onBytesSent(exchange, bytes);
+        };
+        handlers.errorReply = [](HttpError reason) { return httpErrorReply(reason); };
         return handlers;
     }
 
@@ -209,18 +211,18 @@
         handlers.request = [&server, answer](HttpExchange exchange, const HttpRequestData &request) {
             server->reply(exchange, answer(request));
         };
-        handlers.gone = [](HttpExchange, FailureReason) {};
-        handlers.taken = [](HttpExchange, std::uint64_t) {};
-        handlers.problem = [](HttpProblem problem) { return httpErrorReply(problem); };
+        handlers.disconnected = [](HttpExchange, FailureReason) {};
+        handlers.bytesSent = [](HttpExchange, std::uint64_t) {};
+        handlers.errorReply = [](HttpError reason) { return httpErrorReply(reason); };
         return handlers;
     }
 
-    static HttpReply httpErrorReply(HttpProblem problem)
+    static HttpReply httpErrorReply(HttpError reason)
     {
         HttpReply reply;
-        reply.status = statusOf(problem);
-        reply.body = std::string(toString(problem));
-        reply.close = true;
+        reply.status = statusOf(reason);
+        reply.body = std::string(toString(reason));
+        reply.closesConnection = true;
         return reply;
     }
 
@@ -243,32 +245,32 @@
     RelayHandlers relayHandlers()
     {
         RelayHandlers handlers;
-        handlers.onCall = [this](HttpExchange exchange, CallFacts info) {
+        handlers.onCall = [this](HttpExchange exchange, CallInfo info) {
             control_.post([this, exchange, info = std::move(info)](Now now) {
-                calls_.arrive(CallHandle{exchange.value}, info, now.mono);
+                calls_.onCall(CallHandle{exchange.value}, info, now.mono);
             });
         };
         handlers.onEndpointNotice = [this](const std::string &endpointId, EndpointNotice notice) {
             control_.post([this, endpointId, notice](Now now) {
-                if (calls_.endpointTold(endpointId, notice, now.mono)) {
-                    logEvent(
-                        Event::EndpointTold,
-                        {{"endpoint", endpointId}, {"leaving", notice.leaving}, {"pauseMs", wholeMs(notice.pause)}});
+                if (calls_.onEndpointNotice(endpointId, notice, now.mono)) {
+                    logEvent(Event::EndpointTold, {{"endpoint", endpointId},
+                                                   {"leaving", notice.leaving},
+                                                   {"pauseMs", toMilliseconds(notice.pause)}});
                 }
             });
         };
         handlers.onAnswerStarted = [this](HttpExchange exchange, std::uint32_t attempt) {
             control_.post([this, exchange, attempt](Now now) {
-                calls_.answerBegan(CallHandle{exchange.value}, attempt, now.mono);
+                calls_.onAnswerStarted(CallHandle{exchange.value}, attempt, now.mono);
             });
         };
         handlers.onAttemptEnded = [this](HttpExchange exchange, std::uint32_t attempt, AttemptResult result) {
             control_.post([this, exchange, attempt, result](Now now) {
-                calls_.attemptEnded(CallHandle{exchange.value}, attempt, result, now.mono);
+                calls_.onAttemptEnded(CallHandle{exchange.value}, attempt, result, now.mono);
             });
         };
         handlers.onCallerGone = [this](HttpExchange exchange) {
-            control_.post([this, exchange](Now now) { calls_.callerGone(CallHandle{exchange.value}, now.mono); });
+            control_.post([this, exchange](Now now) { calls_.onCallerGone(CallHandle{exchange.value}, now.mono); });
         };
         return handlers;
     }
@@ -292,7 +294,7 @@
             }
         };
         const auto discardState = [this](const std::string &name) {
-            control_.post([this, name](Now) { calls_.sidecarLost(name); });
+            control_.post([this, name](Now) { calls_.onSidecarLost(name); });
         };
         handlers.targetUp = [discardState](const std::string &name) {
             logEvent(Event::MemberChanged, {{"sidecar", name}, {"state", "connected"}});
@@ -309,9 +311,9 @@
     /// `knownEndpoints`: endpoints reported by the previous store.
     void startWatcher(std::set<std::string> knownEndpoints)
     {
-        auto init = storeFollowerInit(settings_, incarnation_);
-        init.known = std::move(knownEndpoints);
-        watcher_ = std::make_unique<StoreFollower<Dialect>>(callServer_->loop(), init, watcherHandlers());
+        auto init = storeWatcherInit(settings_, incarnation_);
+        init.knownEndpoints = std::move(knownEndpoints);
+        watcher_ = std::make_unique<StoreWatcher<Dialect>>(callServer_->loop(), init, watcherHandlers());
         watcher_->start();
     }
 
@@ -329,16 +331,16 @@
         crashReporter_ = std::make_unique<CrashReporter<Dialect>>(callServer_->loop(), init, std::move(handlers));
     }
 
-    StoreFollowerHandlers watcherHandlers()
+    StoreWatcherHandlers watcherHandlers()
     {
-        StoreFollowerHandlers handlers;
+        StoreWatcherHandlers handlers;
         handlers.record = [this](StoreRecord record) {
             control_.post([this, record = std::move(record)](Now now) { applyRecord(record, now.mono); });
         };
         handlers.complete = [this] { control_.post([this](Now) { isStoreRead_ = true; }); };
         handlers.answered = [this](Duration sinceLastAnswer, bool isRecovery) {
             control_.post([this, sinceLastAnswer, isRecovery](Now now) {
-                calls_.storeAnswered(now.mono);
+                calls_.onStoreAnswered(now.mono);
                 storeLog_.answered(sinceLastAnswer, isRecovery);
             });
         };
@@ -355,7 +357,7 @@
         handlers.sharedWatchFailed = [this] {
             control_.post([this, name = requestedAddress_](Now now) {
                 logEvent(Event::StoreSharerFailed, {{"sidecar", name}});
-                calls_.storeSharerFailed(name, now.mono);
+                calls_.onSharedWatchFailed(name, now.mono);
                 selectSharedWatch(now.mono);
             });
         };
@@ -376,7 +378,7 @@
         request.set_call(call);
         request.set_era(after.era);
         request.set_after(after.revision);
-        request.set_wait_ms(static_cast<std::uint32_t>(wholeMs(wait)));
+        request.set_wait_ms(static_cast<std::uint32_t>(toMilliseconds(wait)));
         request.set_store(settings_.direct().store());
         messenger_->sendTo(requestedAddress_, message);
         return true;
@@ -397,7 +399,7 @@
 
     void selectSharedWatch(TimePoint now)
     {
-        auto address = calls_.storeSharer(now);
+        auto address = calls_.sharedWatchAddress(now);
         const std::lock_guard lock(sharedWatchMutex_);
         sharedWatchAddress_ = std::move(address);
     }
@@ -407,11 +409,12 @@
         std::visit(Overloaded{[&](const DirectConfig &config) { applyConfig(config, now); },
                               [&](const EndpointRecord &endpoint) { applyEndpoint(endpoint, now); },
                               [&](const EndpointRemoved &removed) {
-                                  logEvent(Event::EndpointRemoved,
-                                           {{"endpoint", removed.id}, {"heldBackMs", wholeMs(removed.heldBack)}});
+                                  logEvent(
+                                      Event::EndpointRemoved,
+                                      {{"endpoint", removed.id}, {"heldBackMs", toMilliseconds(removed.withheldFor)}});
                                   calls_.removeEndpoint(removed.id, now);
                               },
-                              [&](const NamedVersion &version) {
+                              [&](const PublishedVersion &version) {
                                   logEvent(Event::VersionNamed, {{"model", version.model},
                                                                  {"adapter", version.adapter},
                                                                  {"version", std::uint64_t{version.version}}});
@@ -472,12 +475,12 @@
             selectSharedWatch(now);
         }
         // Readiness is never withdrawn: an entry without the store or a sidecar still serves better than none.
-        isReady_ = isReady_ || (isStoreRead_ && calls_.ready(now));
+        isReady_ = isReady_ || (isStoreRead_ && calls_.isReady(now));
         if (now >= nextMetricsAt_) {
             nextMetricsAt_ = now + metricsInterval;
             renderMetrics();
         }
-        control_.timers().subscribe(now + directTick, [this](TimePoint) { onTick(); });
+        control_.timers().subscribe(now + directTickInterval, [this](TimePoint) { onTick(); });
     }
 
     void performActions()
@@ -496,7 +499,7 @@
         reportCrashes();
         std::vector<DirectAction> trafficActions;
         for (auto &action : actions) {
-            if (auto *sendDemand = std::get_if<SendWishes>(&action)) {
+            if (auto *sendDemand = std::get_if<SendDemand>(&action)) {
                 wire::Envelope message;
                 *message.mutable_direct_demand() = std::move(sendDemand->demand);
                 messenger_->sendTo(sendDemand->address, message);
@@ -509,7 +512,7 @@
         }
         callServer_->loop().post([this, trafficActions = std::move(trafficActions)] {
             for (const auto &action : trafficActions) {
-                std::visit(Overloaded{[](const SendWishes &) {},
+                std::visit(Overloaded{[](const SendDemand &) {},
                                       [this](const auto &relayAction) { relay_.perform(relayAction); }},
                            action);
             }
@@ -568,7 +571,7 @@
     std::string metricsText_;
     ControlLoop control_;
     std::unique_ptr<Messenger> messenger_;
-    std::unique_ptr<StoreFollower<Dialect>> watcher_; // traffic thread
+    std::unique_ptr<StoreWatcher<Dialect>> watcher_; // traffic thread
     std::unique_ptr<CrashReporter<Dialect>> crashReporter_; // traffic thread
     std::unique_ptr<HttpServer> callServer_;
     std::unique_ptr<HttpServer> readyServer_;
--- a/src/daemon/direct_log.cpp
+++ b/src/daemon/direct_log.cpp
@@ -52,7 +52,7 @@
                                     {"refusal", std::string(toString(attempt.result.refusal))},
                                     {"status", std::uint64_t{attempt.result.status}},
                                     {"callerHasBytes", attempt.result.callerHasBytes},
-                                    {"afterMs", wholeMs(attempt.after)}});
+                                    {"afterMs", toMilliseconds(attempt.elapsed)}});
 }
 
 void DirectLog::requestQuarantined(CallFingerprint request)
@@ -84,15 +84,15 @@
               {"endpoint", call.endpointId},
               {"attempts", std::uint64_t{call.attempts}},
               {"config", call.configVersion},
-              {"estimateMs", wholeMs(call.estimate)},
-              {"stateAgeMs", wholeMs(call.stateAge)},
-              {"storeAgeMs", wholeMs(call.storeAge)},
-              {"adapterWaitMs", wholeMs(call.adapterWait)},
-              {"firstByteMs", call.firstByte ? wholeMs(*call.firstByte) : -1},
-              {"pauseMs", wholeMs(call.longestPause)},
+              {"estimateMs", toMilliseconds(call.estimate)},
+              {"stateAgeMs", toMilliseconds(call.stateAge)},
+              {"storeAgeMs", toMilliseconds(call.storeAge)},
+              {"adapterWaitMs", toMilliseconds(call.adapterWait)},
+              {"firstByteMs", call.firstByte ? toMilliseconds(*call.firstByte) : -1},
+              {"pauseMs", toMilliseconds(call.longestPause)},
               {"promptTokens", std::uint64_t{call.promptTokens}},
-              {"totalMs", wholeMs(call.total)},
-              {"patienceMs", wholeMs(call.patience)}});
+              {"totalMs", toMilliseconds(call.total)},
+              {"patienceMs", toMilliseconds(call.callerTimeout)}});
 }
 
 void DirectLog::appendMetrics(MetricsText &text) const
--- a/src/daemon/direct_relay.h
+++ b/src/daemon/direct_relay.h
@@ -10,7 +10,7 @@
 /// Handlers of a DirectRelay, called from the traffic thread.
 struct RelayHandlers
 {
-    std::function<void(HttpExchange, CallFacts)> onCall;
+    std::function<void(HttpExchange, CallInfo)> onCall;
     /// Called before onAnswerStarted and onAttemptEnded of the attempt.
     std::function<void(const std::string &endpointId, EndpointNotice)> onEndpointNotice;
     std::function<void(HttpExchange, std::uint32_t attempt)> onAnswerStarted;
@@ -47,7 +47,7 @@
             server_->reply(exchange, errorReply(statusBadRequest, toString(info.error()), Duration(0)));
             return;
         }
-        info->fingerprint = fingerprintOf(request.method, request.target, request.body, *info);
+        info->fingerprint = computeFingerprint(request.method, request.target, request.body, *info);
         auto &call = calls_[exchange.value];
         call.request = std::move(request);
         call.requestId = info->requestId;
@@ -109,7 +109,7 @@
         finish(action.call, errorReply(action.status, toString(action.reason), action.retryAfter));
     }
 
-    void perform(const PassAnswer &action)
+    void perform(const ForwardAnswer &action)
     {
         const auto found = calls_.find(action.call.value);
         if (found == calls_.end()) {
@@ -122,7 +122,7 @@
     {
         const auto found = clients_.find(action.address);
         if (found != clients_.end()) {
-            found->second->dropIdle();
+            found->second->closeIdleConnections();
         }
     }
 
@@ -204,8 +204,8 @@
             HttpClientInit init;
             init.address = address;
             init.connectTimeout = connectTimeout;
-            init.keepIdle = defaultKeepIdle;
-            init.keepMargin = keepMargin;
+            init.maxIdleTime = defaultKeepIdle;
+            init.idleMargin = keepMargin;
             client = std::make_unique<HttpClient>(server_->loop(), init);
         }
         return *client;
@@ -238,7 +238,7 @@
         handlers_.onAnswerStarted(exchange, call.attempt);
         call.heldReply.status = head.status;
         call.heldReply.headers = head.headers;
-        if (call.answer.kind == AnswerKind::Success && call.answer.events) {
+        if (call.answer.kind == AnswerKind::Success && call.answer.isEventStream) {
             startForwarding(exchange, call);
         }
     }
--- a/src/daemon/direct_settings.cpp
+++ b/src/daemon/direct_settings.cpp
@@ -5,13 +5,13 @@
 
 tl::expected<DirectPolicy, StartError> directPolicy(const settings::Settings &settings)
 {
-    const auto disabled = readMechanisms(settings.direct().without());
+    const auto disabled = parseMechanisms(settings.direct().without());
     if (!disabled) {
         return tl::unexpected(
             StartError{StartErrorKind::Mechanism, "direct.without", "unknown mechanism: " + disabled.error()});
     }
     DirectPolicy policy;
-    policy.without = *disabled;
+    policy.disabled = *disabled;
     return policy;
 }
 
@@ -25,10 +25,10 @@
     return init;
 }
 
-StoreFollowerInit storeFollowerInit(const settings::Settings &settings, std::uint64_t incarnation)
+StoreWatcherInit storeWatcherInit(const settings::Settings &settings, std::uint64_t incarnation)
 {
     const auto &direct = settings.direct();
-    StoreFollowerInit init;
+    StoreWatcherInit init;
     init.address = direct.store().substr(std::string_view("http://").size());
     init.times = storeTimes(Milliseconds(std::min(direct.leave_ms(), direct.config_ms())));
     if (direct.store_pause_ms() != 0) {
@@ -40,7 +40,7 @@
 
 CrashReporterInit crashReporterInit(const settings::Settings &settings, std::uint64_t incarnation)
 {
-    const auto watcher = storeFollowerInit(settings, incarnation);
+    const auto watcher = storeWatcherInit(settings, incarnation);
     CrashReporterInit init;
     init.address = watcher.address;
     init.name = settings.name() + "-" + std::to_string(incarnation);
--- a/src/daemon/direct_settings.h
+++ b/src/daemon/direct_settings.h
@@ -11,7 +11,7 @@
 /// Returns the policy without the mechanisms that the settings disable, or an error for an unknown mechanism.
 tl::expected<DirectPolicy, StartError> directPolicy(const settings::Settings &settings);
 DirectCallsInit directCallsInit(const settings::Settings &settings, const DirectPolicy &policy);
-StoreFollowerInit storeFollowerInit(const settings::Settings &settings, std::uint64_t incarnation);
+StoreWatcherInit storeWatcherInit(const settings::Settings &settings, std::uint64_t incarnation);
 CrashReporterInit crashReporterInit(const settings::Settings &settings, std::uint64_t incarnation);
 
 } // namespace anvilscale
--- a/src/daemon/direct_sidecar.h
+++ b/src/daemon/direct_sidecar.h
@@ -26,7 +26,7 @@
         }
         auto sidecar = std::unique_ptr<DirectSidecar>(new DirectSidecar(settings, *policy));
         auto init = messengerInit(settings, sidecar->incarnation_);
-        init.lifeSign = LifeSign::KeepAlive;
+        init.livenessCheck = LivenessCheck::KeepAlive;
         auto messenger = Messenger::create(init, sidecar->messengerHandlers());
         if (!messenger) {
             return tl::unexpected(makeStartError(StartErrorKind::ControlAddress, "control", messenger.error()));
@@ -49,8 +49,8 @@
             HttpClientInit init;
             init.address = settings_.direct().endpoint().substr(std::string_view("http://").size());
             init.connectTimeout = answerTimeout;
-            init.keepIdle = Milliseconds(700);
-            init.keepMargin = Milliseconds(300);
+            init.maxIdleTime = Milliseconds(700);
+            init.idleMargin = Milliseconds(300);
             client_ = std::make_unique<HttpClient>(loop_, init);
             startSharedWatch();
         });
@@ -137,7 +137,7 @@
             }
             control_.post([this, peer, demand = message.direct_demand()](Now now) {
                 controller_.applyDemand(peer, demand, now.mono);
-                statePublisher_.entryHas(peer, demand.state_sequence());
+                statePublisher_.onStateAcknowledged(peer, demand.state_sequence());
                 if (entries_.insert(peer).second) {
                     nextStateAt_ = now.mono;
                 }
@@ -146,8 +146,8 @@
         handlers.peerLost = [this](PeerHandle peer) {
             control_.post([this, peer](Now) {
                 entries_.erase(peer);
-                statePublisher_.entryLost(peer);
-                controller_.peerLost(peer);
+                statePublisher_.onEntryLost(peer);
+                controller_.onPeerLost(peer);
             });
         };
         handlers.fromTarget = [](const std::string &, wire::Envelope &&) {};
@@ -163,7 +163,7 @@
         if (settings_.direct().store().empty()) {
             return;
         }
-        const auto watcher = storeFollowerInit(settings_, incarnation_);
+        const auto watcher = storeWatcherInit(settings_, incarnation_);
         const SharedStoreWatchInit init{settings_.direct().store(), watcher.address, watcher.times};
         const auto sendUpdate = [this](PeerHandle entry, const wire::StoreNews &update) {
             wire::Envelope message;
@@ -218,9 +218,10 @@
                             controller_.applyReport(*report, now.mono);
                             logLoadTimes(now.mono);
                         } else {
-                            controller_.reportFailed(now.mono);
+                            controller_.onReportFailed(now.mono);
                         }
-                        const bool isBusy = report && (!report->pending.empty() || report->busy || controller_.waits());
+                        const bool isBusy =
+                            report && (!report->pending.empty() || report->busy || controller_.isAwaitingEffect());
                         control_.timers().subscribe(now.mono + (isBusy ? busyReportInterval : idleReportInterval),
                                                     [this](TimePoint) {
                                                         if (!isReadingReport_) {
@@ -289,11 +290,11 @@
                                                       {"model", order.model},
                                                       {"adapter", order.adapter},
                                                       {"endpoint", order.endpointId},
-                                                      {"expected", order.expected},
-                                                      {"fence", order.fence},
+                                                      {"expected", order.expectedSequence},
+                                                      {"fence", order.fencingNumber},
                                                       {"result", std::string(toString(result))},
                                                       {"incarnation", incarnation}});
-                        controller_.orderEnded(order.id, result, incarnation, now.mono);
+                        controller_.onOrderEnded(order.id, result, incarnation, now.mono);
                         if (!isReadingReport_) {
                             requestReport();
                         }
@@ -303,7 +304,7 @@
     void updateState(TimePoint now)
     {
         auto state = controller_.state(now);
-        state.set_interval_ms(static_cast<std::uint32_t>(wholeMs(stateInterval())));
+        state.set_interval_ms(static_cast<std::uint32_t>(toMilliseconds(stateInterval())));
         state.set_shares_store(!settings_.direct().store().empty());
         statePublisher_.update(state);
     }
@@ -317,7 +318,7 @@
         scheduleState(now + stateInterval());
         updateState(now);
         for (const auto peer : entries_) {
-            messenger_->sendTo(peer, statePublisher_.messageFor(peer));
+            messenger_->sendTo(peer, statePublisher_.buildMessage(peer));
         }
     }
 
@@ -330,8 +331,8 @@
         }
         updateState(now);
         for (const auto peer : entries_) {
-            if (controller_.waitsFor(peer)) {
-                messenger_->sendTo(peer, statePublisher_.messageFor(peer));
+            if (controller_.hasWaitingCalls(peer)) {
+                messenger_->sendTo(peer, statePublisher_.buildMessage(peer));
             }
         }
     }
@@ -355,9 +356,9 @@
 
     settings::Settings settings_;
     std::uint64_t incarnation_;
-    AdapterKeeper controller_; // control thread, as are the members below up to nextStateAt_
+    AdapterController controller_; // control thread, as are the members below up to nextStateAt_
     std::set<PeerHandle> entries_; // entries that have sent a demand
-    StateNews statePublisher_;
+    StatePublisher statePublisher_;
     bool isReadingReport_ = false;
     bool isReachable_ = true;
     std::uint64_t lastSentRevision_ = 0; // last revision sent to all entries
--- a/src/daemon/entry_daemon.cpp
+++ b/src/daemon/entry_daemon.cpp
@@ -18,13 +18,13 @@
     init.address = settings.http().address();
     init.port = static_cast<std::uint16_t>(settings.http().port());
     init.threads = entry.traffic_threads();
-    init.headLimit = entry.header_limit_bytes();
-    init.bodyLimit = entry.body_limit_bytes();
-    init.connectionLimit = entry.connection_limit();
+    init.maxHeadBytes = entry.header_limit_bytes();
+    init.maxBodyBytes = entry.body_limit_bytes();
+    init.maxConnections = entry.connection_limit();
     init.headTimeout = Milliseconds(entry.header_timeout_ms());
     init.bodyTimeout = Milliseconds(entry.body_timeout_ms());
     init.writeTimeout = Milliseconds(entry.write_timeout_ms());
-    init.holdBytes = entry.stream_buffer_bytes();
+    init.maxHeldBytes = entry.stream_buffer_bytes();
     return init;
 }
 
@@ -91,7 +91,7 @@
     httpHandlers.request = [this](HttpExchange exchange, HttpRequestData request) {
         onRequest(exchange, std::move(request));
     };
-    httpHandlers.gone = [this](HttpExchange exchange, FailureReason reason) {
+    httpHandlers.disconnected = [this](HttpExchange exchange, FailureReason reason) {
         control_.post([this, exchange, reason](Now now) {
             if (reason == FailureReason::SlowReader) {
                 logEvent(Event::SlowReaderCut, {{"call", exchange.value}});
@@ -99,11 +99,11 @@
             decisions_->onCallerGone(CallHandle{exchange.value}, reason, now);
         });
     };
-    httpHandlers.taken = [this](HttpExchange exchange, std::uint64_t bytes) {
+    httpHandlers.bytesSent = [this](HttpExchange exchange, std::uint64_t bytes) {
         control_.post(
-            [this, exchange, bytes](Now now) { decisions_->onCallerTook(CallHandle{exchange.value}, bytes, now); });
+            [this, exchange, bytes](Now now) { decisions_->onCallerRead(CallHandle{exchange.value}, bytes, now); });
     };
-    httpHandlers.problem = [](HttpProblem problem) { return httpErrorReply(problem); };
+    httpHandlers.errorReply = [](HttpError reason) { return httpErrorReply(reason); };
     auto server = HttpServer::create(httpInit(settings_), std::move(httpHandlers));
     if (!server) {
         return tl::unexpected(makeStartError(StartErrorKind::HttpAddress, "http.port", server.error()));
@@ -134,7 +134,7 @@
     entry.seed = random_.next();
     decisions_ = std::make_unique<EntryDecisions>(entry);
 
-    ConfigSpread::Init distributorInit;
+    ConfigDistributor::Init distributorInit;
     distributorInit.self = settings_.name();
     distributorInit.incarnation = incarnation_;
     distributorInit.dataCentre = settings_.data_centre();
@@ -144,17 +144,17 @@
     distributorInit.store = &config_;
     distributorInit.timers = &timers;
     distributorInit.seed = random_.next();
-    ConfigSpread::Callbacks callbacks;
+    ConfigDistributor::Callbacks callbacks;
     callbacks.submit =
         kvMux_->addClient([this](const KvReply &reply, Now now) { configDistributor_->onReply(reply, now); });
     callbacks.sendToPeer = [this](const std::string &peer, const wire::Envelope &message) {
         sendToPeer(peer, message);
     };
     callbacks.changed = [this](Now now) { onConfigChanged(now); };
-    callbacks.refused = [](const ConfigError &error, Now) {
+    callbacks.rejected = [](const ConfigError &error, Now) {
         logEvent(Event::ConfigRejected, {{"kind", std::string(toString(error.kind))}, {"path", error.path}});
     };
-    configDistributor_ = std::make_unique<ConfigSpread>(distributorInit, std::move(callbacks));
+    configDistributor_ = std::make_unique<ConfigDistributor>(distributorInit, std::move(callbacks));
 
     slotTables_ = std::make_unique<SlotTables>(
         SlotTables::Init{prefix, timing_.configPoll, &timers, random_.next()},
@@ -162,7 +162,7 @@
         [this](const config::SlotTable &table, Now now) { decisions_->onSlotTable(table, now); });
 
     if (settings_.entry().scheduler_candidate()) {
-        LeaseKeeper::Init lease;
+        LeaseHolder::Init lease;
         lease.key = prefix + "scheduler";
         lease.holder = settings_.name();
         lease.incarnation = incarnation_;
@@ -170,7 +170,7 @@
         lease.timing = timing_;
         lease.timers = &timers;
         lease.seed = random_.next();
-        lease_ = std::make_unique<LeaseKeeper>(
+        lease_ = std::make_unique<LeaseHolder>(
             lease, kvMux_->addClient([this](const KvReply &reply, Now now) { lease_->onReply(reply, now); }));
         LoadScheduler::Init scheduler;
         scheduler.name = settings_.name();
@@ -279,7 +279,7 @@
 
 void EntryDaemon::onCall(HttpExchange exchange, CallerRequest request, Now now)
 {
-    if (configDistributor_->empty()) {
+    if (configDistributor_->isEmpty()) {
         localRefusals_.add(RefusalReason::NotConfigured);
         CallError error{Verdict::NotRun, RefusalReason::NotConfigured, FailureReason::None, Seconds(1)};
         http_->reply(exchange, errorReply(error));
@@ -340,7 +340,7 @@
 {
     checkLease(now);
     checkStaleness();
-    isReady_ = !isDraining_ && !configDistributor_->empty();
+    isReady_ = !isDraining_ && !configDistributor_->isEmpty();
     for (auto &action : decisions_->takeActions()) {
         performAction(action);
     }
@@ -357,7 +357,7 @@
                    [this](SendToSidecar &send) { sendToSidecar(send); },
                    [this](DeliverFrame &frame) {
                        const HttpExchange exchange{frame.call.value};
-                       if (frame.begin) {
+                       if (frame.isFirst) {
                            http_->begin(exchange, frame.status, std::move(frame.headers));
                        }
                        if (!frame.data.empty()) {
@@ -399,7 +399,7 @@
     isLeaseHeld_ = isHeld;
     logEvent(isHeld ? Event::SchedulerTaken : Event::SchedulerLost, {{"fence", lease_->fence()}});
     if (isHeld) {
-        scheduler_->onTakeOver(now);
+        scheduler_->onLeaseAcquired(now);
         for (const auto &member : membership_->members()) {
             if (shouldConnect(member)) {
                 connect(member.name);
@@ -413,8 +413,8 @@
 
 void EntryDaemon::checkStaleness()
 {
-    if (configDistributor_->stale() != isStale_) {
-        isStale_ = configDistributor_->stale();
+    if (configDistributor_->isStale() != isStale_) {
+        isStale_ = configDistributor_->isStale();
         logEvent(isStale_ ? Event::ConfigStale : Event::ConfigFresh, {{"revision", config_.revision()}});
     }
 }
--- a/src/daemon/entry_daemon.h
+++ b/src/daemon/entry_daemon.h
@@ -84,9 +84,9 @@
     ConfigStore config_;
     std::unique_ptr<Membership> membership_;
     std::unique_ptr<EntryDecisions> decisions_;
-    std::unique_ptr<LeaseKeeper> lease_; // null unless this entry may become the scheduler
+    std::unique_ptr<LeaseHolder> lease_; // null unless this entry may become the scheduler
     std::unique_ptr<LoadScheduler> scheduler_;
-    std::unique_ptr<ConfigSpread> configDistributor_;
+    std::unique_ptr<ConfigDistributor> configDistributor_;
     std::unique_ptr<SlotTables> slotTables_;
     std::unique_ptr<KvMux> kvMux_;
     std::map<std::string, std::string> connectedAddresses_; // name to address
--- a/src/daemon/entry_peers.cpp
+++ b/src/daemon/entry_peers.cpp
@@ -218,7 +218,7 @@
     logEvent(Event::PeerLost, {{"peer", name}});
     membership_->onUnreachable(name, now);
     configDistributor_->onPeerLost(name);
-    decisions_->onConversationLost(name, now);
+    decisions_->onConnectionLost(name, now);
 }
 
 void EntryDaemon::sendHello(const std::string &name, bool requestFullState)
--- a/src/daemon/entry_status.cpp
+++ b/src/daemon/entry_status.cpp
@@ -33,14 +33,14 @@
     root.set("draining", isDraining_.load());
     root.set("revision", config_.revision());
     root.set("digest", hexText(config_.digest()));
-    root.set("stale", configDistributor_->stale());
-    root.set("watching", configDistributor_->watching());
+    root.set("stale", configDistributor_->isStale());
+    root.set("watching", configDistributor_->isWatching());
     root.set("keyValueDown", kvMux_->isDown());
     root.set("lease", std::string(toString(lease_ ? lease_->state() : LeaseState::None)));
     root.set("fence", lease_ ? lease_->fence() : 0);
-    root.set("openCalls", stats.open);
+    root.set("openCalls", stats.openCalls);
     root.set("calls", stats.calls);
-    root.set("finished", stats.finished);
+    root.set("finished", stats.finishedCalls);
     root.set("attempts", stats.attempts);
     Poco::JSON::Array members;
     for (const auto &member : membership_->members()) {
@@ -69,13 +69,13 @@
     };
     Poco::JSON::Object root(Poco::JSON_PRESERVE_KEY_ORDER);
     root.set("route", route);
-    root.set("known", explanation.known);
+    root.set("known", explanation.isKnown);
     root.set("adapter", explanation.target.adapter);
     root.set("version", explanation.target.version);
     root.set("revision", explanation.revision);
     root.set("resident", list(explanation.resident));
     root.set("loading", list(explanation.loading));
-    root.set("choice", explanation.choice);
+    root.set("choice", explanation.chosenSidecar);
     root.set("refusal", std::string(toString(explanation.refusal)));
     return toJsonText(root);
 }
@@ -93,12 +93,12 @@
     text.counters("anvilscale_verdicts_total", "errors told to callers by verdict", "verdict", stats.verdicts);
     text.counters("anvilscale_failures_total", "failed calls by reason", "reason", stats.failures);
     text.counter("anvilscale_calls_total", "calls taken", stats.calls);
-    text.counter("anvilscale_calls_finished_total", "calls answered whole", stats.finished);
+    text.counter("anvilscale_calls_finished_total", "calls answered whole", stats.finishedCalls);
     text.counter("anvilscale_attempts_total", "attempts sent to sidecars", stats.attempts);
     text.counter("anvilscale_frames_dropped_total", "frames that matched no open attempt", stats.droppedFrames);
     text.counter("anvilscale_answers_broken_total", "answers whose end did not agree with their frames",
                  stats.brokenAnswers);
-    text.gauge("anvilscale_calls_open", "calls in progress", stats.open);
+    text.gauge("anvilscale_calls_open", "calls in progress", stats.openCalls);
     text.add(stallSeconds_);
     text.add(stepFill_);
     if (scheduler_) {
--- a/src/daemon/process.cpp
+++ b/src/daemon/process.cpp
@@ -58,7 +58,7 @@
     init.name = settings.name();
     init.incarnation = incarnation;
     init.heartbeat = Milliseconds(settings.timing().heartbeat_ms());
-    init.silence = Milliseconds(settings.timing().suspect_ms());
+    init.silenceTimeout = Milliseconds(settings.timing().suspect_ms());
     return init;
 }
 
@@ -132,12 +132,12 @@
 void appendHttpMetrics(MetricsText &text, const HttpServerStats &stats)
 {
     text.counters("anvilscale_http_problems_total", "requests that could not be read, by problem", "problem",
-                  stats.problems);
+                  stats.errors);
     text.counter("anvilscale_http_connections_total", "connections accepted", stats.connections);
     text.counter("anvilscale_http_requests_total", "requests read", stats.requests);
     text.counter("anvilscale_http_slow_readers_cut_total", "callers cut because they took nothing",
                  stats.slowReadersCut);
-    text.gauge("anvilscale_http_connections_open", "open connections", stats.open);
+    text.gauge("anvilscale_http_connections_open", "open connections", stats.openConnections);
 }
 
 void appendKvMetrics(MetricsText &text, const KvStats &stats)
@@ -153,12 +153,13 @@
     text.counter("anvilscale_kv_over_budget_total", "requests turned away by the call budget", stats.overBudget);
 }
 
-void appendConfigMetrics(MetricsText &text, const ConfigStore &config, const ConfigSpread &distributor, bool isKvDown)
+void appendConfigMetrics(MetricsText &text, const ConfigStore &config, const ConfigDistributor &distributor,
+                         bool isKvDown)
 {
     text.gauge("anvilscale_config_revision", "revision of the configuration in force",
                static_cast<double>(config.revision()));
     text.gauge("anvilscale_config_stale", "1 if the configuration could not be confirmed for too long",
-               distributor.stale() ? 1 : 0);
+               distributor.isStale() ? 1 : 0);
     text.gauge("anvilscale_kv_down", "1 if the last request to the key-value service was not answered",
                isKvDown ? 1 : 0);
 }
--- a/src/daemon/sidecar_daemon.cpp
+++ b/src/daemon/sidecar_daemon.cpp
@@ -19,8 +19,8 @@
     HttpServerInit init;
     init.address = settings.http().address();
     init.port = static_cast<std::uint16_t>(settings.http().port());
-    init.bodyLimit = maxHttpBodyBytes;
-    init.connectionLimit = maxHttpConnections;
+    init.maxBodyBytes = maxHttpBodyBytes;
+    init.maxConnections = maxHttpConnections;
     return init;
 }
 
@@ -111,25 +111,25 @@
     init.reportInterval = timing_.heartbeat;
     Endpoint::Handlers handlers;
     handlers.send = [this](PeerHandle peer, const wire::Envelope &message) { messenger_->sendTo(peer, message); };
-    handlers.started = [this](ExecutionHandle execution) {
+    handlers.onStarted = [this](ExecutionHandle execution) {
         control_.post([this, execution](Now now) { decisions_->onExecutionStarted(execution, now); });
     };
-    handlers.ended = [this](ExecutionHandle execution, KeptAnswer answer, std::uint32_t tokens) {
+    handlers.onEnded = [this](ExecutionHandle execution, CachedAnswer answer, std::uint32_t tokens) {
         control_.post([this, execution, answer = std::move(answer), tokens](Now now) mutable {
             decisions_->onExecutionEnded(execution, std::move(answer), tokens, now);
             endedExecutions_.push_back(execution);
         });
     };
-    handlers.orderDone = [this](OrderHandle order, OrderOutcome outcome) {
+    handlers.onOrderDone = [this](OrderHandle order, OrderOutcome outcome) {
         control_.post([this, order, outcome](Now now) { decisions_->onOrderDone(order, outcome, now); });
     };
-    handlers.list = [this](OrderHandle order, EngineList list) {
+    handlers.onList = [this](OrderHandle order, EngineList list) {
         control_.post([this, order, list = std::move(list)](Now now) { decisions_->onEngineList(order, list, now); });
     };
-    handlers.report = [this](EngineReport report) {
+    handlers.onReport = [this](EngineReport report) {
         control_.post([this, report = std::move(report)](Now now) { onReport(report, now); });
     };
-    handlers.lost = [this] { control_.post([this](Now now) { onEndpointLost(now); }); };
+    handlers.onUnreachable = [this] { control_.post([this](Now now) { onEndpointLost(now); }); };
     endpoint_ = std::make_unique<Endpoint>(init, std::move(handlers));
     return {};
 }
@@ -157,10 +157,10 @@
     httpHandlers.request = [this](HttpExchange exchange, const HttpRequestData &request) {
         onHttpRequest(exchange, request);
     };
-    httpHandlers.gone = [](HttpExchange, FailureReason) {};
-    httpHandlers.taken = [](HttpExchange, std::uint64_t) {};
-    httpHandlers.problem = [](HttpProblem problem) {
-        return HttpReply{statusOf(problem), {}, std::string(toString(problem)), true};
+    httpHandlers.disconnected = [](HttpExchange, FailureReason) {};
+    httpHandlers.bytesSent = [](HttpExchange, std::uint64_t) {};
+    httpHandlers.errorReply = [](HttpError reason) {
+        return HttpReply{statusOf(reason), {}, std::string(toString(reason)), true};
     };
     auto server = HttpServer::create(httpInit(settings_), std::move(httpHandlers));
     if (!server) {
@@ -201,7 +201,7 @@
     decisions_ = std::make_unique<SidecarDecisions>(init);
     submitKv_ = kvMux_->addClient([this](const KvReply &reply, Now now) { decisions_->onKvReply(reply, now); });
 
-    ConfigSpread::Init distributorInit;
+    ConfigDistributor::Init distributorInit;
     distributorInit.self = settings_.name();
     distributorInit.incarnation = incarnation_;
     distributorInit.dataCentre = settings_.data_centre();
@@ -210,17 +210,17 @@
     distributorInit.store = &config_;
     distributorInit.timers = &timers;
     distributorInit.seed = random_.next();
-    ConfigSpread::Callbacks callbacks;
+    ConfigDistributor::Callbacks callbacks;
     callbacks.submit =
         kvMux_->addClient([this](const KvReply &reply, Now now) { configDistributor_->onReply(reply, now); });
     callbacks.sendToPeer = [this](const std::string &peer, const wire::Envelope &message) {
         sendToPeer(peer, message);
     };
     callbacks.changed = [this](Now now) { onConfigChanged(now); };
-    callbacks.refused = [](const ConfigError &error, Now) {
+    callbacks.rejected = [](const ConfigError &error, Now) {
         logEvent(Event::ConfigRejected, {{"kind", std::string(toString(error.kind))}, {"path", error.path}});
     };
-    configDistributor_ = std::make_unique<ConfigSpread>(distributorInit, std::move(callbacks));
+    configDistributor_ = std::make_unique<ConfigDistributor>(distributorInit, std::move(callbacks));
 }
 
 void SidecarDaemon::createPlatform()
@@ -311,7 +311,7 @@
         endpoint_->credit(peer, message.call_credit());
     }
     if (message.has_call_cancel()) {
-        endpoint_->listenerGone(peer, message.call_cancel().id());
+        endpoint_->listenerDisconnected(peer, message.call_cancel().id());
     }
     control_.post([this, peer, message = std::move(message)](Now now) { handlePeerMessage(peer, message, now); });
 }
@@ -407,7 +407,7 @@
     for (const auto execution : std::exchange(endedExecutions_, {})) {
         endpoint_->release(execution);
     }
-    if (decisions_->leaving() && !std::exchange(isDrainLogged_, true)) {
+    if (decisions_->isLeaving() && !std::exchange(isDrainLogged_, true)) {
         isDraining_ = true;
         logEvent(Event::DrainStarted, {{"role", std::string("sidecar")}});
     }
@@ -504,8 +504,8 @@
 
 void SidecarDaemon::checkStaleness(Now now)
 {
-    if (configDistributor_->stale() != isStale_) {
-        isStale_ = configDistributor_->stale();
+    if (configDistributor_->isStale() != isStale_) {
+        isStale_ = configDistributor_->isStale();
         logEvent(isStale_ ? Event::ConfigStale : Event::ConfigFresh, {{"revision", config_.revision()}});
         decisions_->onConfigStale(isStale_, now);
     }
--- a/src/daemon/sidecar_daemon.h
+++ b/src/daemon/sidecar_daemon.h
@@ -80,7 +80,7 @@
     Random random_;
     ConfigStore config_;
     std::unique_ptr<SidecarDecisions> decisions_;
-    std::unique_ptr<ConfigSpread> configDistributor_;
+    std::unique_ptr<ConfigDistributor> configDistributor_;
     std::unique_ptr<KvMux> kvMux_;
     KvMux::Submit submitKv_; // submits the requests of decisions_
     std::map<std::string, PeerHandle> peers_; // entries that have sent a Hello, by name
--- a/src/daemon/sidecar_status.cpp
+++ b/src/daemon/sidecar_status.cpp
@@ -27,7 +27,7 @@
             http_->reply(exchange, HttpReply{200, {{"Content-Type", "text/plain; version=0.0.4"}}, metrics(), false});
             return;
         }
-        const bool ready = !isDraining_ && !isEndpointDown_ && !configDistributor_->empty();
+        const bool ready = !isDraining_ && !isEndpointDown_ && !configDistributor_->isEmpty();
         http_->reply(exchange, jsonReply(ready ? 200 : 503, ready ? R"({"ready":true})" : R"({"ready":false})"));
     });
 }
@@ -54,7 +54,7 @@
     root.set("draining", isDraining_.load());
     root.set("revision", config_.revision());
     root.set("digest", hexText(config_.digest()));
-    root.set("stale", configDistributor_->stale());
+    root.set("stale", configDistributor_->isStale());
     root.set("keyValueDown", kvMux_->isDown());
     root.set("endpointKind", settings_.sidecar().endpoint_kind());
     root.set("endpointDown", isEndpointDown_);
@@ -112,7 +112,7 @@
     text.counter("anvilscale_endpoint_connections_total", "connections to the endpoint", endpoint.connections);
     text.counter("anvilscale_endpoint_connect_failures_total", "connections that were refused",
                  endpoint.connectFailures);
-    text.counter("anvilscale_endpoint_broken_total", "answers of the endpoint that broke off", endpoint.broken);
+    text.counter("anvilscale_endpoint_broken_total", "answers of the endpoint that broke off", endpoint.brokenAnswers);
     text.counter("anvilscale_endpoint_cancels_total", "calls cancelled at the endpoint", endpoint.cancels);
     text.counter("anvilscale_endpoint_cancels_unconfirmed_total", "cancels that the endpoint did not confirm at once",
                  endpoint.unconfirmedCancels);
--- a/src/daemon/slot_tables.cpp
+++ b/src/daemon/slot_tables.cpp
@@ -56,7 +56,7 @@
 {
     for (const auto &entry : reply.entries) {
         config::SlotTable table;
-        if (!entry.deleted && table.ParseFromString(entry.value)) {
+        if (!entry.isDeleted && table.ParseFromString(entry.value)) {
             onTable_(table, now);
         }
     }
--- a/src/daemon/store_follower.h
+++ b/src/daemon/store_follower.h
@@ -12,14 +12,14 @@
 
 namespace anvilscale {
 
-struct StoreFollowerInit
+struct StoreWatcherInit
 {
     std::string address; ///< address of the store, "IP:PORT"
     StoreTimes times;
     std::uint64_t seed = 1;
     /// Endpoints reported by the previous store. Those missing in this store are reported as removed, so that no calls
     /// are sent to them.
-    std::set<std::string> known;
+    std::set<std::string> knownEndpoints;
 };
 
 /// Reason of a failed call to the store.
@@ -51,7 +51,7 @@
 };
 
 /// Handlers of a StoreWatcher, called from the loop's thread.
-struct StoreFollowerHandlers
+struct StoreWatcherHandlers
 {
     std::function<void(StoreRecord)> record;
     /// The first full read has completed.
@@ -83,8 +83,8 @@
     HttpClientInit init;
     init.address = address;
     init.connectTimeout = times.silenceTimeout;
-    init.keepIdle = pause + Milliseconds(500);
-    init.keepConnections = 1;
+    init.maxIdleTime = pause + Milliseconds(500);
+    init.maxIdleConnections = 1;
     return init;
 }
 
@@ -93,29 +93,29 @@
 /// timeouts of StoreTimes bound the delay of a change. Where a sidecar watches the store for several entries, requests
 /// to it replace the watches; the store itself is called when it fails. Use from the loop's thread only.
 template<StoreDialect Dialect, class Loop = EventLoop, StoreClient Client = HttpClient>
-class StoreFollower
+class StoreWatcher
 {
 public:
-    StoreFollower(Loop &loop, StoreFollowerInit init, StoreFollowerHandlers handlers)
+    StoreWatcher(Loop &loop, StoreWatcherInit init, StoreWatcherHandlers handlers)
         : loop_(loop)
         , init_(std::move(init))
         , handlers_(std::move(handlers))
         , random_(init_.seed)
         , client_(loop, storeClientInit(init_.address, init_.times, init_.times.pause))
     {
-        for (const auto &id : init_.known) {
+        for (const auto &id : init_.knownEndpoints) {
             reported_.emplace(id, 0);
         }
     }
-    ~StoreFollower()
+    ~StoreWatcher()
     {
         loop_.timers().cancel(nextCallTimer_);
         loop_.timers().cancel(timeoutTimer_);
         loop_.timers().cancel(missingTimer_);
         loop_.timers().cancel(withheldTimer_);
     }
-    StoreFollower(const StoreFollower &) = delete;
-    StoreFollower &operator=(const StoreFollower &) = delete;
+    StoreWatcher(const StoreWatcher &) = delete;
+    StoreWatcher &operator=(const StoreWatcher &) = delete;
 
     void start()
     {
@@ -183,7 +183,7 @@
         revision_ = isFirstPage ? page->revision : std::min(revision_, page->revision);
         onAnswered();
         applyPage(*page);
-        if (page->more) {
+        if (page->hasMore) {
             readPage(page->lastKey);
             return;
         }
@@ -264,8 +264,8 @@
 
     void applyPage(StorePage &page)
     {
-        if (page.rejected != 0) {
-            logEvent(Event::StoreRecordRejected, {{"records", static_cast<std::uint64_t>(page.rejected)}});
+        if (page.rejectedRecords != 0) {
+            logEvent(Event::StoreRecordRejected, {{"records", static_cast<std::uint64_t>(page.rejectedRecords)}});
         }
         for (auto &record : page.records) {
             if (const auto *endpoint = std::get_if<EndpointRecord>(&record)) {
@@ -343,7 +343,7 @@
     {
         EndpointRemoved removed{id};
         if (const auto missing = missing_.find(id); missing != missing_.end()) {
-            removed.heldBack = loop_.now() - missing->second.missingSince;
+            removed.withheldFor = loop_.now() - missing->second.missingSince;
             missing_.erase(missing);
         }
         reported_.erase(id);
@@ -385,7 +385,7 @@
     void startCall(EndpointRequest request, Duration silenceTimeout, std::function<void(const std::string &)> onDone)
     {
         // An existing connection may be broken without notice, and a retry on it would hang.
-        request.freshConnection = !isReachable_;
+        request.needsNewConnection = !isReachable_;
         answerStatus_ = 0;
         answerEra_ = 0;
         answerBody_.clear();
@@ -541,8 +541,8 @@
     }
 
     Loop &loop_;
-    StoreFollowerInit init_;
-    StoreFollowerHandlers handlers_;
+    StoreWatcherInit init_;
+    StoreWatcherHandlers handlers_;
     Random random_;
     Client client_;
     TimerHandle nextCallTimer_;
--- a/src/daemon/store_log.cpp
+++ b/src/daemon/store_log.cpp
@@ -19,7 +19,7 @@
     ++answers_;
     answerInterval_.record(std::chrono::duration<double>(sinceLastAnswer).count());
     if (isRecovery) {
-        logEvent(Event::KeyValueBack, {{"unheardMs", wholeMs(sinceLastAnswer)}});
+        logEvent(Event::KeyValueBack, {{"unheardMs", toMilliseconds(sinceLastAnswer)}});
     }
 }
 
@@ -30,8 +30,8 @@
              {{"call", failure.isWatch ? "watch" : "read"},
               {"failure", std::string(toString(failure.kind))},
               {"status", std::uint64_t{failure.status}},
-              {"tookMs", wholeMs(failure.elapsed)},
-              {"unheardMs", wholeMs(failure.sinceLastAnswer)}});
+              {"tookMs", toMilliseconds(failure.elapsed)},
+              {"unheardMs", toMilliseconds(failure.sinceLastAnswer)}});
 }
 
 void StoreLog::restored(std::uint64_t era)
--- a/src/daemon/store_share.h
+++ b/src/daemon/store_share.h
@@ -96,7 +96,7 @@
         answerEra_ = 0;
         answerBody_.clear();
         auto watchRequest = Dialect::watchRequest(revision_, Duration(0));
-        watchRequest.freshConnection = !isReachable_;
+        watchRequest.needsNewConnection = !isReachable_;
         loop_.timers().cancel(timeoutTimer_);
         timeoutTimer_ = loop_.timers().subscribe(now + silenceTimeout_, [this](TimePoint) {
             client_.abort(currentExchange_);
@@ -205,7 +205,7 @@
         update.set_revision(revision_);
         for (const auto &item : changes_) {
             if (item.revision > after.revision) {
-                update.add_items(item.text);
+                update.add_items(item.encoded);
             }
         }
         return update;
@@ -224,7 +224,7 @@
     std::uint64_t era_ = 0; // era of all state below; 0 if unknown
     std::uint64_t revision_ = 0; // revision up to which changes_ is complete; 0 if the watch has to be restarted
     std::uint64_t completeAfter_ = 0; // changes_ is complete after this revision
-    std::deque<StoreItem> changes_; // in revision order
+    std::deque<StoreChange> changes_; // in revision order
     // Last record of each endpoint without resident models and adapters.
     std::map<std::string, std::optional<EndpointRecord>> lastRecords_;
     TimePoint lastCallAt_{};
--- a/src/direct/adapter_keeper.cpp
+++ b/src/direct/adapter_keeper.cpp
@@ -20,21 +20,21 @@
 
 } // namespace
 
-AdapterKeeper::AdapterKeeper(std::uint64_t fencingNumber, DirectPolicy policy)
+AdapterController::AdapterController(std::uint64_t fencingNumber, DirectPolicy policy)
     : impl_(std::make_unique<Impl>())
 {
     impl_->fencingNumber = fencingNumber;
     impl_->policy = policy;
 }
 
-AdapterKeeper::~AdapterKeeper() = default;
+AdapterController::~AdapterController() = default;
 
-void AdapterKeeper::applyDemand(PeerHandle peer, const wire::DirectDemand &demand, TimePoint now)
+void AdapterController::applyDemand(PeerHandle peer, const wire::DirectDemand &demand, TimePoint now)
 {
     impl_->applyDemand(peer, demand, now);
 }
 
-void AdapterKeeper::Impl::applyDemand(PeerHandle peer, const wire::DirectDemand &demand, TimePoint now)
+void AdapterController::Impl::applyDemand(PeerHandle peer, const wire::DirectDemand &demand, TimePoint now)
 {
     if (demand.has_plan() && demand.plan().config_version() >= plan.config_version()) {
         plan = demand.plan();
@@ -53,7 +53,7 @@
     }
 }
 
-void AdapterKeeper::Impl::applyIncarnation(const std::string &id)
+void AdapterController::Impl::applyIncarnation(const std::string &id)
 {
     if (id.empty() || id == rejectedId || id == endpointId) {
         return;
@@ -63,14 +63,14 @@
     ++revision;
 }
 
-void AdapterKeeper::peerLost(PeerHandle peer)
+void AdapterController::onPeerLost(PeerHandle peer)
 {
     impl_->demands.erase(peer);
     impl_->promptTokens.erase(peer);
     ++impl_->revision;
 }
 
-AdapterKeeper::Impl::AdapterDemand AdapterKeeper::Impl::totalDemand(const AdapterKey &key) const
+AdapterController::Impl::AdapterDemand AdapterController::Impl::totalDemand(const AdapterKey &key) const
 {
     AdapterDemand sum;
     for (const auto &[peer, fromPeer] : demands) {
@@ -84,7 +84,7 @@
     return sum;
 }
 
-AdapterKeeper::Impl::PromptTokens AdapterKeeper::Impl::totalPromptTokens() const
+AdapterController::Impl::PromptTokens AdapterController::Impl::totalPromptTokens() const
 {
     PromptTokens sum;
     for (const auto &[peer, tokens] : promptTokens) {
@@ -94,14 +94,15 @@
     return sum;
 }
 
-void AdapterKeeper::applyReport(const EngineStateReport &report, TimePoint now)
+void AdapterController::applyReport(const EngineStateReport &report, TimePoint now)
 {
     impl_->applyReport(report, now);
 }
 
-void AdapterKeeper::Impl::applyReport(const EngineStateReport &newReport, TimePoint now)
+void AdapterController::Impl::applyReport(const EngineStateReport &newReport, TimePoint now)
 {
-    const bool hasNewStartTime = report && newReport.born != 0 && report->born != 0 && newReport.born != report->born;
+    const bool hasNewStartTime = report && newReport.startTimeMs != 0 && report->startTimeMs != 0
+                                 && newReport.startTimeMs != report->startTimeMs;
     const bool restarted = report && (hasNewStartTime || newReport.sequence < report->sequence);
     const bool changed = !report || !isReachable || report->adapters != newReport.adapters
                          || report->models != newReport.models || report->pending != newReport.pending
@@ -110,7 +111,7 @@
         onRestart(now);
     }
     // The report counts the order: its effect is visible.
-    if (unconfirmedOrder && newReport.sequence > unconfirmedOrder->expected) {
+    if (unconfirmedOrder && newReport.sequence > unconfirmedOrder->expectedSequence) {
         unconfirmedOrder.reset();
     }
     if (unconfirmedOrder && now > nextOrderAt + maxConfirmationTime) {
@@ -132,7 +133,7 @@
 }
 
 // The engine runs as a new process, perhaps under the same id.
-void AdapterKeeper::Impl::onRestart(TimePoint now)
+void AdapterController::Impl::onRestart(TimePoint now)
 {
     if (pendingOrder) {
         onOrderLost(*pendingOrder, now);
@@ -145,7 +146,7 @@
     }
 }
 
-void AdapterKeeper::Impl::recordLoads(const EngineStateReport &newReport, TimePoint now)
+void AdapterController::Impl::recordLoads(const EngineStateReport &newReport, TimePoint now)
 {
     if (!newReport.models.empty()) {
         loadTimes.onModelLoaded(now);
@@ -157,23 +158,24 @@
     loadTimes.checkOverdue(now);
 }
 
-void AdapterKeeper::reportFailed(TimePoint /*now*/)
+void AdapterController::onReportFailed(TimePoint /*now*/)
 {
     impl_->revision += impl_->isReachable ? 1 : 0;
     impl_->isReachable = false;
 }
 
-void AdapterKeeper::orderEnded(OrderHandle id, EngineOrderResult result, const std::string &incarnation, TimePoint now)
+void AdapterController::onOrderEnded(OrderHandle id, EngineOrderResult result, const std::string &incarnation,
+                                     TimePoint now)
 {
-    impl_->orderEnded(id, result, incarnation, now);
+    impl_->onOrderEnded(id, result, incarnation, now);
 }
 
-std::optional<EngineOrder> AdapterKeeper::nextOrder(TimePoint now)
+std::optional<EngineOrder> AdapterController::nextOrder(TimePoint now)
 {
     return impl_->nextOrder(now);
 }
 
-const HeldAdapter *AdapterKeeper::Impl::findHeld(const AdapterKey &key) const
+const HeldAdapter *AdapterController::Impl::findHeld(const AdapterKey &key) const
 {
     if (!report) {
         return nullptr;
@@ -184,19 +186,19 @@
     return found == report->adapters.end() ? nullptr : &*found;
 }
 
-bool AdapterKeeper::Impl::isPending(const AdapterKey &key) const
+bool AdapterController::Impl::isPending(const AdapterKey &key) const
 {
     return std::any_of(report->pending.begin(), report->pending.end(), [&](const HeldAdapter &adapter) {
         return adapter.model == key.first && adapter.adapter == key.second;
     });
 }
 
-bool AdapterKeeper::Impl::hasModel(const std::string &model) const
+bool AdapterController::Impl::hasModel(const std::string &model) const
 {
     return std::find(report->models.begin(), report->models.end(), model) != report->models.end();
 }
 
-const wire::EngineModel *AdapterKeeper::Impl::findModelSize(const std::string &model) const
+const wire::EngineModel *AdapterController::Impl::findModelSize(const std::string &model) const
 {
     for (const auto &size : plan.models()) {
         if (size.name() == model) {
@@ -206,7 +208,7 @@
     return nullptr;
 }
 
-double AdapterKeeper::Impl::usedMb() const
+double AdapterController::Impl::usedMb() const
 {
     double sum = 0;
     for (const auto &model : report->models) {
@@ -222,7 +224,7 @@
     return sum;
 }
 
-std::map<AdapterKeeper::Impl::AdapterKey, bool> AdapterKeeper::Impl::findAwaitedAdapters() const
+std::map<AdapterController::Impl::AdapterKey, bool> AdapterController::Impl::findAwaitedAdapters() const
 {
     std::map<AdapterKey, bool> ahead;
     for (const auto &[peer, fromPeer] : demands) {
@@ -235,7 +237,7 @@
     return ahead;
 }
 
-void AdapterKeeper::Impl::addLoadsAhead(wire::DirectState &state) const
+void AdapterController::Impl::addLoadsAhead(wire::DirectState &state) const
 {
     const auto ahead = findAwaitedAdapters();
     for (const auto &[key, inTime] : ahead) {
@@ -248,7 +250,7 @@
     state.set_loads_in_time(static_cast<std::uint32_t>(inTime));
 }
 
-void AdapterKeeper::Impl::addLoadTimes(wire::DirectState &state) const
+void AdapterController::Impl::addLoadTimes(wire::DirectState &state) const
 {
     state.set_loads_at_once(static_cast<std::uint32_t>(maxConcurrentLoads()));
     if (!policy.has(Mechanism::LearnedLoads)) {
@@ -261,7 +263,7 @@
     state.set_copies(static_cast<std::uint32_t>(loadTimes.copyCount()));
 }
 
-void AdapterKeeper::Impl::addAdapters(wire::DirectState &state, TimePoint now) const
+void AdapterController::Impl::addAdapters(wire::DirectState &state, TimePoint now) const
 {
     const auto add = [&state, now, this](const HeldAdapter &adapter, bool loading) {
         auto &item = *state.add_adapters();
@@ -292,7 +294,7 @@
     state.set_room(static_cast<std::uint32_t>(free) + idle);
 }
 
-wire::DirectState AdapterKeeper::Impl::state(TimePoint now) const
+wire::DirectState AdapterController::Impl::state(TimePoint now) const
 {
     wire::DirectState state;
     const auto tokens = totalPromptTokens();
@@ -306,7 +308,7 @@
     if (!report) {
         return state;
     }
-    state.set_born(report->born);
+    state.set_born(report->startTimeMs);
     state.set_leaving(report->leaving && leavingId == endpointId);
     for (const auto &model : report->models) {
         state.add_models(model);
@@ -316,22 +318,22 @@
     return state;
 }
 
-wire::DirectState AdapterKeeper::state(TimePoint now) const
+wire::DirectState AdapterController::state(TimePoint now) const
 {
     return impl_->state(now);
 }
 
-Duration AdapterKeeper::orderTimeout() const
+Duration AdapterController::orderTimeout() const
 {
     return impl_->orderTimeout();
 }
 
-bool AdapterKeeper::waits() const
+bool AdapterController::isAwaitingEffect() const
 {
     return impl_->pendingOrder || impl_->unconfirmedOrder;
 }
 
-bool AdapterKeeper::waitsFor(PeerHandle peer) const
+bool AdapterController::hasWaitingCalls(PeerHandle peer) const
 {
     const auto found = impl_->demands.find(peer);
     return found != impl_->demands.end()
@@ -339,18 +341,18 @@
                           [](const auto &demand) { return demand.second.waiting != 0; });
 }
 
-std::uint64_t AdapterKeeper::pendingWork() const
+std::uint64_t AdapterController::pendingWork() const
 {
     const auto tokens = impl_->totalPromptTokens();
     return tokens.unread + tokens.waiting + loadWorkTokens * impl_->findAwaitedAdapters().size();
 }
 
-std::uint64_t AdapterKeeper::revision() const
+std::uint64_t AdapterController::revision() const
 {
     return impl_->revision;
 }
 
-const Counters<EngineOrderResult> &AdapterKeeper::results() const
+const Counters<EngineOrderResult> &AdapterController::results() const
 {
     return impl_->results;
 }
--- a/src/direct/adapter_keeper_impl.h
+++ b/src/direct/adapter_keeper_impl.h
@@ -7,7 +7,7 @@
 
 namespace anvilscale {
 
-struct AdapterKeeper::Impl
+struct AdapterController::Impl
 {
     using AdapterKey = std::pair<std::string, std::string>; // model, adapter
     struct AdapterDemand
@@ -58,7 +58,7 @@
     std::optional<EngineOrder> selectOrder(const AdapterKey &key, const AdapterDemand &demand, TimePoint now);
     std::optional<AdapterKey> selectVictim(TimePoint now) const;
     EngineOrder makeOrder(EngineOrderKind kind, const AdapterKey &key);
-    void orderEnded(OrderHandle id, EngineOrderResult result, const std::string &incarnation, TimePoint now);
+    void onOrderEnded(OrderHandle id, EngineOrderResult result, const std::string &incarnation, TimePoint now);
     void onOrderAccepted(const EngineOrder &order, TimePoint now);
     void onOrderLost(const EngineOrder &order, TimePoint now);
     bool mayLostLoadApply(TimePoint now) const;
--- a/src/direct/call_ends.cpp
+++ b/src/direct/call_ends.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void DirectCalls::attemptEnded(CallHandle handle, std::uint32_t attempt, const AttemptResult &result, TimePoint now)
+void DirectCalls::onAttemptEnded(CallHandle handle, std::uint32_t attempt, const AttemptResult &result, TimePoint now)
 {
     auto &impl = *impl_;
     const auto found = impl.calls.find(handle);
@@ -52,7 +52,7 @@
             impl.routeCall(handle, call, now);
             return;
         }
-        impl.actions.emplace_back(PassAnswer{handle});
+        impl.actions.emplace_back(ForwardAnswer{handle});
         impl.finishCall(handle, EndedOutcome::OwnFailure, toString(result.end), result.status, now);
         return;
     case AttemptEnd::Broken:
@@ -172,11 +172,11 @@
     done.longestPause = call.longestPause;
     done.promptTokens = call.info.promptTokens;
     done.total = now - call.arrivedAt;
-    done.patience = call.info.patience;
+    done.callerTimeout = call.info.callerTimeout;
     endedCalls.push_back(std::move(done));
 }
 
-void DirectCalls::callerGone(CallHandle handle, TimePoint now)
+void DirectCalls::onCallerGone(CallHandle handle, TimePoint now)
 {
     const auto found = impl_->calls.find(handle);
     if (found == impl_->calls.end()) {
--- a/src/direct/call_fingerprint.cpp
+++ b/src/direct/call_fingerprint.cpp
@@ -26,8 +26,8 @@
     return result;
 }
 
-CallFingerprint fingerprintOf(std::string_view method, std::string_view target, std::string_view body,
-                              const CallFacts &info)
+CallFingerprint computeFingerprint(std::string_view method, std::string_view target, std::string_view body,
+                                   const CallInfo &info)
 {
     auto value = hash64(method);
     for (const auto part :
--- a/src/direct/direct_calls.cpp
+++ b/src/direct/direct_calls.cpp
@@ -77,7 +77,7 @@
     return true;
 }
 
-void DirectCalls::arrive(CallHandle handle, CallFacts info, TimePoint now)
+void DirectCalls::onCall(CallHandle handle, CallInfo info, TimePoint now)
 {
     auto &impl = *impl_;
     ++impl.stats.calls;
@@ -102,7 +102,7 @@
     call.maxEndpoints = std::max<std::uint32_t>(1, route->maxEndpoints);
     call.objective = route->objective;
     call.arrivedAt = now;
-    call.deadline = now + info.patience;
+    call.deadline = now + info.callerTimeout;
     call.cutOffAt = std::min(call.deadline, now + route->timeout);
     const bool limited = route->firstByteLimit > Duration(0);
     call.firstByteBy = limited ? std::min(call.deadline, now + route->firstByteLimit) : call.deadline;
@@ -190,7 +190,7 @@
     call.stepStartedAt = now;
     const auto &chosen = *endpoints.find(choice.endpointId);
     call.endpointGeneration = chosen.generation;
-    call.endpointStartTimeMs = chosen.record.born;
+    call.endpointStartTimeMs = chosen.record.startTimeMs;
     call.storeAge = now - storeAnsweredAt;
     call.stateAge = chosen.state ? now - chosen.stateReceivedAt : Duration(-1);
     if (call.isEngine && choice.presence != Presence::Resident) {
@@ -286,7 +286,7 @@
     entry->recordEnd(failed, now);
 }
 
-void DirectCalls::answerBegan(CallHandle handle, std::uint32_t attempt, TimePoint now)
+void DirectCalls::onAnswerStarted(CallHandle handle, std::uint32_t attempt, TimePoint now)
 {
     const auto found = impl_->calls.find(handle);
     if (found == impl_->calls.end() || found->second.attempt != attempt || found->second.hasFirstByte) {
@@ -331,16 +331,16 @@
     return std::exchange(impl_->actions, {});
 }
 
-bool DirectCalls::configured() const
+bool DirectCalls::isConfigured() const
 {
     return impl_->config.has_value();
 }
 
 // A new entry does not know yet what engines hold and would refuse calls that it could serve a moment later. It is
 // ready once half of the engines have reported, or after a timeout: the rest may have no sidecar.
-bool DirectCalls::ready(TimePoint now) const
+bool DirectCalls::isReady(TimePoint now) const
 {
-    if (!configured() || impl_->endpoints.entries().empty()) {
+    if (!isConfigured() || impl_->endpoints.entries().empty()) {
         return false;
     }
     std::size_t engines = 0;
--- a/src/direct/direct_calls_impl.h
+++ b/src/direct/direct_calls_impl.h
@@ -21,7 +21,7 @@
 
 struct DirectCall
 {
-    CallFacts info;
+    CallInfo info;
     std::string service;
     bool isEngine = false;
     RepeatRule repeat = RepeatRule::NonIdempotent;
--- a/src/direct/direct_waits.cpp
+++ b/src/direct/direct_waits.cpp
@@ -227,7 +227,7 @@
     sent.sentAt = now;
     sent.serialized = std::move(serialized);
     entry.startedByAdapter.clear();
-    actions.emplace_back(SendWishes{entry.record.address, std::move(demand)});
+    actions.emplace_back(SendDemand{entry.record.address, std::move(demand)});
 }
 
 void DirectCalls::Impl::sendDemands(TimePoint now)
--- a/src/direct/endpoint_choice.cpp
+++ b/src/direct/endpoint_choice.cpp
@@ -37,7 +37,7 @@
     return hash64(entry.record.address, key);
 }
 
-double sharedTokens(const CallFacts &info)
+double sharedTokens(const CallInfo &info)
 {
     double sum = 0;
     for (std::size_t i = 0; i + 1 < info.parts.size(); ++i) {
@@ -46,12 +46,12 @@
     return sum;
 }
 
-double ownTokens(const CallFacts &info)
+double ownTokens(const CallInfo &info)
 {
     return info.parts.empty() ? info.promptTokens : info.parts.back().tokens;
 }
 
-std::uint64_t prefixKey(const CallFacts &info)
+std::uint64_t prefixKey(const CallInfo &info)
 {
     std::uint64_t key = hash64(info.adapter, hash64(info.model));
     for (std::size_t i = 0; i + 1 < info.parts.size(); ++i) {
--- a/src/direct/endpoint_choice.h
+++ b/src/direct/endpoint_choice.h
@@ -9,7 +9,7 @@
 /// Input of the choice for one call.
 struct ChoiceQuery
 {
-    const CallFacts *info = nullptr;
+    const CallInfo *info = nullptr;
     const std::string *service = nullptr;
     bool isEngine = false;
     std::uint32_t minVersion = 0;
--- a/src/direct/endpoint_news.cpp
+++ b/src/direct/endpoint_news.cpp
@@ -8,9 +8,9 @@
 bool DirectCalls::applyEndpoint(const EndpointRecord &record, TimePoint now)
 {
     auto *known = impl_->endpoints.find(record.id);
-    const bool restarted = known != nullptr && known->isOlderThan(record.born);
+    const bool restarted = known != nullptr && known->isOlderThan(record.startTimeMs);
     if (restarted) {
-        impl_->onRestarted(*known, record.born, now);
+        impl_->onRestarted(*known, record.startTimeMs, now);
     }
     const auto effect = impl_->endpoints.applyRecord(record, now);
     if (record.leaving && effect != RecordEffect::Stale) {
@@ -61,7 +61,7 @@
     }
 }
 
-void DirectCalls::applyVersion(const NamedVersion &version, TimePoint /*now*/)
+void DirectCalls::applyVersion(const PublishedVersion &version, TimePoint /*now*/)
 {
     auto &known = impl_->namedVersions[{version.model, version.adapter}];
     known = std::max(known, version.version);
@@ -70,7 +70,7 @@
     }
 }
 
-bool DirectCalls::endpointTold(const std::string &endpointId, const EndpointNotice &notice, TimePoint now)
+bool DirectCalls::onEndpointNotice(const std::string &endpointId, const EndpointNotice &notice, TimePoint now)
 {
     auto *entry = impl_->endpoints.find(endpointId);
     if (entry == nullptr) {
@@ -124,12 +124,12 @@
     }
 }
 
-void DirectCalls::storeAnswered(TimePoint now)
+void DirectCalls::onStoreAnswered(TimePoint now)
 {
     impl_->storeAnsweredAt = now;
 }
 
-void DirectCalls::sidecarLost(const std::string &address)
+void DirectCalls::onSidecarLost(const std::string &address)
 {
     if (auto *entry = impl_->endpoints.findByAddress(address)) {
         entry->onSidecarLost();
--- a/src/direct/endpoint_table.cpp
+++ b/src/direct/endpoint_table.cpp
@@ -45,8 +45,9 @@
 /// Compares by process start times, or by record creation if one is unknown.
 bool isYounger(const EndpointRecord &a, const EndpointRecord &b)
 {
-    const bool reported = a.born != 0 && b.born != 0;
-    return reported ? a.born > b.born : std::tie(a.era, a.created) > std::tie(b.era, b.created);
+    const bool reported = a.startTimeMs != 0 && b.startTimeMs != 0;
+    return reported ? a.startTimeMs > b.startTimeMs
+                    : std::tie(a.era, a.createRevision) > std::tie(b.era, b.createRevision);
 }
 
 } // namespace
@@ -92,12 +93,12 @@
 
 bool EndpointEntry::isOlderThan(std::uint64_t startTimeMs) const
 {
-    return record.born != 0 && startTimeMs > record.born;
+    return record.startTimeMs != 0 && startTimeMs > record.startTimeMs;
 }
 
 bool EndpointEntry::isOutdated(const wire::DirectState &reported) const
 {
-    return reported.endpoint_id() == record.id && reported.born() != 0 && reported.born() < record.born;
+    return reported.endpoint_id() == record.id && reported.born() != 0 && reported.born() < record.startTimeMs;
 }
 
 void EndpointEntry::applyState(const wire::DirectState &reported, TimePoint now)
@@ -255,19 +256,19 @@
         return RecordEffect::Changed;
     }
     auto &entry = known->second;
-    if (record.born != 0 && record.born < entry.record.born) {
+    if (record.startTimeMs != 0 && record.startTimeMs < entry.record.startTimeMs) {
         return RecordEffect::Stale;
     }
-    const auto startTimeMs = std::max(record.born, entry.record.born); // a record may lack it
+    const auto startTimeMs = std::max(record.startTimeMs, entry.record.startTimeMs); // a record may lack it
     // Leaving is final. A delayed write from before must not attract calls to the endpoint again; only a new process,
     // which starts with resetProcess, is ready once more.
     const bool leaving = entry.record.leaving || record.leaving;
     const bool changed = entry.record.leaving != leaving;
     const bool moved = entry.record.address != record.address || entry.record.service != record.service
-                       || entry.record.era != record.era || entry.record.created != record.created
-                       || entry.record.born != startTimeMs;
+                       || entry.record.era != record.era || entry.record.createRevision != record.createRevision
+                       || entry.record.startTimeMs != startTimeMs;
     entry.record = record;
-    entry.record.born = startTimeMs;
+    entry.record.startTimeMs = startTimeMs;
     entry.record.leaving = leaving;
     entry.hasAnnouncedLeaving = entry.hasAnnouncedLeaving || record.leaving;
     if (moved) {
@@ -280,7 +281,7 @@
 {
     EndpointEntry newEntry;
     newEntry.record = entry.record;
-    newEntry.record.born = startTimeMs;
+    newEntry.record.startTimeMs = startTimeMs;
     newEntry.record.leaving = false;
     newEntry.record.models.clear();
     newEntry.record.adapters.clear();
@@ -351,7 +352,7 @@
 {
     const auto found = removedLeavers_.find(record.id);
     return found != removedLeavers_.end() && now - found->second.removedAt < removalLifetime
-           && record.born <= found->second.startTimeMs;
+           && record.startTimeMs <= found->second.startTimeMs;
 }
 
 void EndpointTable::remove(const std::string &id, TimePoint now)
@@ -363,7 +364,7 @@
     if (found->second.hasAnnouncedLeaving) {
         std::erase_if(removedLeavers_,
                       [now](const auto &item) { return now - item.second.removedAt >= removalLifetime; });
-        removedLeavers_[id] = {found->second.record.born, now};
+        removedLeavers_[id] = {found->second.record.startTimeMs, now};
     }
     byId_.erase(found);
     markSuperseded();
--- a/src/direct/keeper_orders.cpp
+++ b/src/direct/keeper_orders.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-void AdapterKeeper::Impl::recordUse(const AdapterKey &key, std::uint32_t starts, TimePoint now)
+void AdapterController::Impl::recordUse(const AdapterKey &key, std::uint32_t starts, TimePoint now)
 {
     if (usages.size() >= maxUsages) {
         std::erase_if(usages, [now](const auto &item) { return now - item.second.lastUsedAt > usageLifetime; });
@@ -47,29 +47,29 @@
     use.lastUsedAt = now;
 }
 
-std::uint32_t AdapterKeeper::Impl::recentCalls(const AdapterKey &key, TimePoint now) const
+std::uint32_t AdapterController::Impl::recentCalls(const AdapterKey &key, TimePoint now) const
 {
     const auto use = usages.find(key);
     const double rate = use == usages.end() ? 0 : decayed(use->second.callRate, use->second.lastUsedAt, now);
     return rate < minReportedCalls ? 0 : std::bit_floor(static_cast<std::uint32_t>(rate));
 }
 
-EngineOrder AdapterKeeper::Impl::makeOrder(EngineOrderKind kind, const AdapterKey &key)
+EngineOrder AdapterController::Impl::makeOrder(EngineOrderKind kind, const AdapterKey &key)
 {
     EngineOrder order;
     order.id = OrderHandle{++lastOrderId};
     order.kind = kind;
     order.model = key.first;
     order.adapter = key.second;
-    order.expected = report->sequence;
-    order.fence = fencingNumber;
+    order.expectedSequence = report->sequence;
+    order.fencingNumber = fencingNumber;
     order.endpointId = endpointId;
     return order;
 }
 
 // Selects the least used adapter that has no running or waiting calls. One in use is never evicted: the engine would
 // wait for its calls to end and refuse all other orders meanwhile.
-std::optional<AdapterKeeper::Impl::AdapterKey> AdapterKeeper::Impl::selectVictim(TimePoint now) const
+std::optional<AdapterController::Impl::AdapterKey> AdapterController::Impl::selectVictim(TimePoint now) const
 {
     std::optional<AdapterKey> worst;
     double least = 0;
@@ -92,14 +92,14 @@
 
 // All loads share the bandwidth of the weight store. Where it is short, more concurrent loads finish no earlier and
 // delay the most urgent ones.
-std::size_t AdapterKeeper::Impl::maxConcurrentLoads() const
+std::size_t AdapterController::Impl::maxConcurrentLoads() const
 {
     return policy.has(Mechanism::LoadWindow) ? loadTimes.window() : maxEngineLoads;
 }
 
 // The engine on the same VM answers an order within milliseconds. A short timeout keeps loads from being delayed by
 // lost answers.
-Duration AdapterKeeper::Impl::orderTimeout() const
+Duration AdapterController::Impl::orderTimeout() const
 {
     if (answerTimesMs.count() < minAnswerSamples || !policy.has(Mechanism::LearnedOrders)) {
         return maxOrderTimeout;
@@ -108,8 +108,8 @@
     return std::clamp<Duration>(usual, minOrderTimeout, maxOrderTimeout);
 }
 
-std::optional<EngineOrder> AdapterKeeper::Impl::selectOrder(const AdapterKey &key, const AdapterDemand &demand,
-                                                            TimePoint now)
+std::optional<EngineOrder> AdapterController::Impl::selectOrder(const AdapterKey &key, const AdapterDemand &demand,
+                                                                TimePoint now)
 {
     if (!hasModel(key.first)) {
         const auto *size = findModelSize(key.first);
@@ -149,7 +149,7 @@
     return out ? std::optional(makeOrder(EngineOrderKind::Unload, *out)) : std::nullopt;
 }
 
-std::optional<EngineOrder> AdapterKeeper::Impl::nextOrder(TimePoint now)
+std::optional<EngineOrder> AdapterController::Impl::nextOrder(TimePoint now)
 {
     const bool known =
         report && isReachable && plan.config_version() != 0 && !endpointId.empty() && endpointId != rejectedId;
@@ -181,8 +181,8 @@
     return std::nullopt;
 }
 
-void AdapterKeeper::Impl::orderEnded(OrderHandle id, EngineOrderResult result, const std::string &incarnation,
-                                     TimePoint now)
+void AdapterController::Impl::onOrderEnded(OrderHandle id, EngineOrderResult result, const std::string &incarnation,
+                                           TimePoint now)
 {
     results.add(result);
     if (!pendingOrder || pendingOrder->id != id) {
@@ -224,7 +224,7 @@
     }
 }
 
-void AdapterKeeper::Impl::onOrderAccepted(const EngineOrder &order, TimePoint now)
+void AdapterController::Impl::onOrderAccepted(const EngineOrder &order, TimePoint now)
 {
     unconfirmedOrder = order;
     if (order.kind != EngineOrderKind::Load) {
@@ -238,18 +238,18 @@
     loadTimes.onLoadStarted(key, totalDemand(key).minVersion, now);
 }
 
-void AdapterKeeper::Impl::onOrderLost(const EngineOrder &order, TimePoint now)
+void AdapterController::Impl::onOrderLost(const EngineOrder &order, TimePoint now)
 {
     std::erase_if(lostLoads, [now](const LostLoad &lost) { return now - lost.sentAt > lostOrderLifetime; });
     if (order.kind == EngineOrderKind::Load) {
-        lostLoads.push_back({order.expected, now});
+        lostLoads.push_back({order.expectedSequence, now});
     }
 }
 
 // True if a lost load from before a restart could be accepted after the next order. Within one incarnation the
 // expected sequence excludes this, but after a restart the sequence reaches the same number again. One slot stays
 // free then, which prevents overloading and crashing a full engine.
-bool AdapterKeeper::Impl::mayLostLoadApply(TimePoint now) const
+bool AdapterController::Impl::mayLostLoadApply(TimePoint now) const
 {
     return std::any_of(lostLoads.begin(), lostLoads.end(), [&](const LostLoad &lost) {
         return lost.isFromEarlierIncarnation && lost.expectedSequence == report->sequence + 1
--- a/src/direct/mechanisms.cpp
+++ b/src/direct/mechanisms.cpp
@@ -3,7 +3,7 @@
 
 namespace anvilscale {
 
-tl::expected<std::bitset<enumCount<Mechanism>>, std::string> readMechanisms(std::string_view names)
+tl::expected<std::bitset<enumCount<Mechanism>>, std::string> parseMechanisms(std::string_view names)
 {
     std::bitset<enumCount<Mechanism>> result;
     while (!names.empty()) {
--- a/src/direct/request_quarantine.cpp
+++ b/src/direct/request_quarantine.cpp
@@ -23,7 +23,7 @@
 
 void RequestQuarantine::applyReport(const CrashReport &report, TimePoint now)
 {
-    const auto process = hashProcess(report.endpointId, report.born);
+    const auto process = hashProcess(report.endpointId, report.startTimeMs);
     for (const auto request : report.suspects) {
         if (!wasAnswered(request)) {
             addSuspect(request, process, now);
@@ -35,7 +35,7 @@
 {
     const auto found = suspects_.find(request);
     return found != suspects_.end() && found->second.crashes.size() >= minCrashes
-           && now - found->second.lastCrashAt < crashReportLife;
+           && now - found->second.lastCrashAt < crashReportLifetime;
 }
 
 std::vector<CrashReport> RequestQuarantine::takeReports()
@@ -69,7 +69,7 @@
         evictSuspects();
     }
     auto &entry = suspects_[request];
-    if (now - entry.lastCrashAt >= crashReportLife) {
+    if (now - entry.lastCrashAt >= crashReportLifetime) {
         entry.crashes.clear();
     }
     auto &crashes = entry.crashes;
--- a/src/direct/state_news.cpp
+++ b/src/direct/state_news.cpp
@@ -3,7 +3,7 @@
 
 namespace anvilscale {
 
-void StateNews::update(const wire::DirectState &state)
+void StatePublisher::update(const wire::DirectState &state)
 {
     auto withoutLoad = state;
     withoutLoad.clear_sequence();
@@ -19,7 +19,7 @@
     state_.set_sequence(sequence_);
 }
 
-wire::Envelope StateNews::messageFor(PeerHandle entry)
+wire::Envelope StatePublisher::buildMessage(PeerHandle entry)
 {
     wire::Envelope message;
     auto &subscription = subscriptions_[entry];
@@ -36,14 +36,14 @@
     return message;
 }
 
-void StateNews::entryHas(PeerHandle entry, std::uint64_t sequence)
+void StatePublisher::onStateAcknowledged(PeerHandle entry, std::uint64_t sequence)
 {
     auto &subscription = subscriptions_[entry];
     subscription.supportsHeartbeats = subscription.supportsHeartbeats || sequence != 0;
     subscription.sequence = sequence;
 }
 
-void StateNews::entryLost(PeerHandle entry)
+void StatePublisher::onEntryLost(PeerHandle entry)
 {
     subscriptions_.erase(entry);
 }
--- a/src/direct/store_sharer.cpp
+++ b/src/direct/store_sharer.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-std::string DirectCalls::storeSharer(TimePoint now) const
+std::string DirectCalls::sharedWatchAddress(TimePoint now) const
 {
     const EndpointEntry *best = nullptr;
     for (const auto &[id, entry] : impl_->endpoints.entries()) {
@@ -30,7 +30,7 @@
     return best == nullptr ? std::string() : best->record.address;
 }
 
-void DirectCalls::storeSharerFailed(const std::string &address, TimePoint now)
+void DirectCalls::onSharedWatchFailed(const std::string &address, TimePoint now)
 {
     std::erase_if(impl_->avoidedWatchAddresses, [now](const auto &item) { return item.second <= now; });
     impl_->avoidedWatchAddresses[address] = now + avoidanceTime;
--- a/src/endpoint/endpoint.cpp
+++ b/src/endpoint/endpoint.cpp
@@ -90,7 +90,7 @@
 {
     impl_->init = std::move(init);
     impl_->handlers = std::move(handlers);
-    for (std::uint32_t i = 0; i < std::max<std::uint32_t>(1, impl_->init.threads); ++i) {
+    for (std::uint32_t i = 0; i < std::max<std::uint32_t>(1, impl_->init.threadCount); ++i) {
         impl_->addWorker();
     }
 }
@@ -143,9 +143,9 @@
     impl_->postToAll([peer, credit](auto &runner) { runner.credit(peer, credit); });
 }
 
-void Endpoint::listenerGone(PeerHandle peer, const wire::AttemptId &id)
+void Endpoint::listenerDisconnected(PeerHandle peer, const wire::AttemptId &id)
 {
-    impl_->postToAll([peer, id](auto &runner) { runner.listenerGone(peer, id); });
+    impl_->postToAll([peer, id](auto &runner) { runner.listenerDisconnected(peer, id); });
 }
 
 void Endpoint::peerLost(PeerHandle peer)
--- a/src/endpoint/endpoint_runner.h
+++ b/src/endpoint/endpoint_runner.h
@@ -29,14 +29,14 @@
     void start(const StartExecution &action)
     {
         const auto key = action.execution;
-        auto &execution = addExecution(key, init_.answerBytes);
+        auto &execution = addExecution(key, init_.maxKeptAnswerBytes);
         execution.isCall = true;
         execution.isRetained = true;
         execution.adapter = AdapterVersion{action.request.adapter(), action.request.version()};
         execution.answer.addListener(AnswerListener{action.to, action.request.id(), action.request.credit_bytes(),
                                                     action.request.stall_us(), false});
         ++runningCalls_;
-        if (EventLoop::now() >= action.sendBefore) {
+        if (EventLoop::now() >= action.sendDeadline) {
             onEnd(key, ExchangeEnd::Unreachable); // nothing was sent
             return;
         }
@@ -85,7 +85,7 @@
             return;
         }
         ++stats_.cancels;
-        found->second.cancelReason = action.why;
+        found->second.cancelReason = action.reason;
         client_.cancel(found->second.exchange);
     }
 
@@ -98,7 +98,7 @@
         execution.answer.setHead(kept.status, kept.headers);
         execution.answer.append(kept.body);
         execution.answer.finish(AnswerOutcome{kept.outcome, kept.failure, 0});
-        const auto credit = std::max<std::uint64_t>(action.creditBytes, init_.windowBytes);
+        const auto credit = std::max<std::uint64_t>(action.creditBytes, init_.maxReadAheadBytes);
         execution.answer.addListener(AnswerListener{action.to, action.id, credit, 0, true});
         pump(key);
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    void listenerGone(PeerHandle /*peer*/, const wire::AttemptId &id)
+    void listenerDisconnected(PeerHandle /*peer*/, const wire::AttemptId &id)
     {
         dropListeners([&](AnswerBuffer &answer) { answer.removeListener(id); });
     }
@@ -139,14 +139,14 @@
         auto reply = std::make_shared<Reply>();
         fetch(protocol_.orderRequest(order), order.timeout, reply, [this, order, reply](ExchangeEnd end) {
             if (end == ExchangeEnd::Unreachable) {
-                handlers_.orderDone(order.order, OrderOutcome::Refused); // nothing was sent
-                handlers_.lost();
+                handlers_.onOrderDone(order.order, OrderOutcome::Refused); // nothing was sent
+                handlers_.onUnreachable();
                 return;
             }
             const bool isComplete = end == ExchangeEnd::Complete;
             const auto outcome =
                 isComplete ? protocol_.parseOrderOutcome(order, reply->status, reply->body) : OrderOutcome::Unknown;
-            handlers_.orderDone(order.order, outcome);
+            handlers_.onOrderDone(order.order, outcome);
         });
     }
 
@@ -158,12 +158,12 @@
                   const auto report =
                       end == ExchangeEnd::Complete ? protocol_.parseReport(reply->body) : std::optional<EngineReport>();
                   if (report) {
-                      handlers_.report(*report);
+                      handlers_.onReport(*report);
                   } else {
                       ++stats_.reportFailures;
                   }
                   if (end == ExchangeEnd::Unreachable) {
-                      handlers_.lost();
+                      handlers_.onUnreachable();
                   }
                   reportTimer_ = loop_.timers().subscribe(EventLoop::now() + init_.reportInterval,
                                                           [this](TimePoint) { startReports(); });
@@ -177,9 +177,9 @@
         result.requests = counts.requests;
         result.connections = counts.connections;
         result.connectFailures = counts.connectFailures;
-        result.running = runningCalls_;
+        result.runningCalls = runningCalls_;
         for (const auto &[key, execution] : executions_) {
-            result.listeners += static_cast<std::uint32_t>(execution.answer.listenerCount());
+            result.listenerCount += static_cast<std::uint32_t>(execution.answer.listenerCount());
         }
         return result;
     }
@@ -223,7 +223,7 @@
                                              false,
                                              FailureReason::CallerGone,
                                              {},
-                                             AnswerBuffer(maxKeptBytes, init_.windowBytes)})
+                                             AnswerBuffer(maxKeptBytes, init_.maxReadAheadBytes)})
             .first->second;
     }
 
@@ -238,7 +238,7 @@
         }
         execution.answer.setHead(head.status, std::move(headers));
         if (!std::exchange(execution.hasStarted, true)) {
-            handlers_.started(key);
+            handlers_.onStarted(key);
         }
         execution.answer.pump(handlers_.send);
     }
@@ -258,7 +258,7 @@
             return;
         }
         if (end == ExchangeEnd::Broken) {
-            ++stats_.broken;
+            ++stats_.brokenAnswers;
         }
         auto outcome = outcomeOf(end);
         if (outcome.outcome == CallOutcome::Cancelled) {
@@ -293,7 +293,7 @@
         }
         auto &execution = found->second;
         --runningCalls_;
-        KeptAnswer kept;
+        CachedAnswer kept;
         kept.status = execution.answer.status();
         kept.headers = execution.answer.headers();
         outcome.generatedTokens = protocol_.generatedTokens(execution.answer.bufferedBody());
@@ -305,7 +305,7 @@
             isTooLong && outcome.failure == FailureReason::None ? FailureReason::AnswerIncomplete : outcome.failure;
         kept.body = std::move(body).value_or(std::string());
         execution.answer.finish(outcome);
-        handlers_.ended(key, std::move(kept), outcome.generatedTokens);
+        handlers_.onEnded(key, std::move(kept), outcome.generatedTokens);
         pump(key);
     }
 
@@ -406,16 +406,16 @@
                     listFailed(order, last);
                     return;
                 }
-                handlers_.list(order.order, *read);
+                handlers_.onList(order.order, *read);
             });
         });
     }
 
     void listFailed(const SendOrder &order, ExchangeEnd end)
     {
-        handlers_.orderDone(order.order, OrderOutcome::Failed); // a failed read leaves no effect in doubt
+        handlers_.onOrderDone(order.order, OrderOutcome::Failed); // a failed read leaves no effect in doubt
         if (end == ExchangeEnd::Unreachable) {
-            handlers_.lost();
+            handlers_.onUnreachable();
         }
     }
 
--- a/src/endpoint/model_engine.cpp
+++ b/src/endpoint/model_engine.cpp
@@ -151,7 +151,7 @@
     std::ostringstream text;
     body.stringify(text);
     request.body = text.str();
-    request.freshConnection = true; // distinguishes "not sent" from "reply lost"
+    request.needsNewConnection = true; // distinguishes "not sent" from "reply lost"
     return request;
 }
 
@@ -175,7 +175,7 @@
 {
     EndpointRequest request;
     request.target = "/v1/models";
-    request.freshConnection = true;
+    request.needsNewConnection = true;
     return request;
 }
 
@@ -183,7 +183,7 @@
 {
     EndpointRequest request;
     request.target = "/metrics";
-    request.freshConnection = true;
+    request.needsNewConnection = true;
     return request;
 }
 
--- a/src/endpoint/plain_service.cpp
+++ b/src/endpoint/plain_service.cpp
@@ -23,7 +23,7 @@
     request.body = call.body();
     // The service may close a kept-alive connection while the request is being sent. The outcome would be unknown and
     // a non-idempotent call could not be retried.
-    request.freshConnection = !call.idempotent();
+    request.needsNewConnection = !call.idempotent();
     return request;
 }
 
@@ -47,7 +47,7 @@
 {
     EndpointRequest request;
     request.target = "/health";
-    request.freshConnection = true;
+    request.needsNewConnection = true;
     return request;
 }
 
--- a/src/net/caller_connection.cpp
+++ b/src/net/caller_connection.cpp
@@ -29,7 +29,7 @@
     socket_.setNoDelay(true);
     pollModes_ = readMode | errorMode;
     context_.loop->watch(socket_, pollModes_, [this](int mode) { onReady(mode); });
-    setDeadline(context_.init->headTimeout, HttpProblem::HeadTimeout);
+    setDeadline(context_.init->headTimeout, HttpError::HeadTimeout);
 }
 
 CallerConnection::~CallerConnection()
@@ -102,17 +102,17 @@
         input_.erase(0, 2);
     }
     const auto length = headLength(input_);
-    if (length > context_.init->headLimit || (length == 0 && input_.size() > context_.init->headLimit)) {
-        rejectMessage(HttpProblem::HeadTooLarge);
+    if (length > context_.init->maxHeadBytes || (length == 0 && input_.size() > context_.init->maxHeadBytes)) {
+        rejectMessage(HttpError::HeadTooLarge);
         return false;
     }
     if (length == 0) {
-        if (!input_.empty() && deadlineError_ != HttpProblem::HeadTimeout) {
-            setDeadline(context_.init->headTimeout, HttpProblem::HeadTimeout);
+        if (!input_.empty() && deadlineError_ != HttpError::HeadTimeout) {
+            setDeadline(context_.init->headTimeout, HttpError::HeadTimeout);
         }
         return false;
     }
-    auto parsed = parseRequestHead(std::string_view(input_).substr(0, length), context_.init->bodyLimit);
+    auto parsed = parseRequestHead(std::string_view(input_).substr(0, length), context_.init->maxBodyBytes);
     input_.erase(0, length);
     if (!parsed) {
         rejectMessage(parsed.error());
@@ -121,7 +121,7 @@
     request_ = std::move(parsed->first);
     bodyReader_ = parsed->second;
     state_ = State::Body;
-    setDeadline(context_.init->bodyTimeout, HttpProblem::BodyTimeout);
+    setDeadline(context_.init->bodyTimeout, HttpError::BodyTimeout);
     if (!bodyReader_.isDone() && input_.empty() && findHeader(request_->headers, "Expect") != nullptr) {
         output_.append(continueResponse);
         writeOutput();
@@ -134,11 +134,11 @@
     const auto consumed = bodyReader_.read(input_, request_->body);
     input_.erase(0, consumed);
     if (bodyReader_.isBroken()) {
-        rejectMessage(HttpProblem::BadBody);
+        rejectMessage(HttpError::BadBody);
         return false;
     }
-    if (request_->body.size() > context_.init->bodyLimit) {
-        rejectMessage(HttpProblem::BodyTooLarge);
+    if (request_->body.size() > context_.init->maxBodyBytes) {
+        rejectMessage(HttpError::BodyTooLarge);
         return false;
     }
     if (!bodyReader_.isDone()) {
@@ -155,7 +155,7 @@
     auto request = std::move(*request_);
     request_.reset();
     const bool isKeptAlive = request.keepAlive && !context_.isDraining;
-    answer_.emplace(isKeptAlive, request.acceptsChunked, request.method == "HEAD", context_.init->holdBytes);
+    answer_.emplace(isKeptAlive, request.acceptsChunked, request.method == "HEAD", context_.init->maxHeldBytes);
     answerEnd_ = AnswerEnd::Open;
     exchange_ = context_.newExchange(id_);
     context_.handlers->request(exchange_, std::move(request));
@@ -216,7 +216,7 @@
         writtenBytes_ = 0;
     }
     if (sentBodyBytes != 0 && exchange_) {
-        context_.handlers->taken(exchange_, sentBodyBytes);
+        context_.handlers->bytesSent(exchange_, sentBodyBytes);
     }
     updateWriteTimer();
     if (pendingBytes == 0) {
@@ -234,7 +234,7 @@
     }
     if (answerEnd_ == AnswerEnd::Keep && !context_.isDraining) {
         state_ = State::Head;
-        setDeadline(context_.init->idleTimeout, HttpProblem::None);
+        setDeadline(context_.init->idleTimeout, HttpError::None);
         processInput();
         return;
     }
@@ -247,10 +247,10 @@
         close();
         return;
     }
-    setDeadline(lingerTimeout, HttpProblem::None);
+    setDeadline(lingerTimeout, HttpError::None);
 }
 
-void CallerConnection::refuse(HttpProblem reason)
+void CallerConnection::refuse(HttpError reason)
 {
     rejectMessage(reason);
     if (state_ == State::Closed) {
@@ -258,14 +258,14 @@
     }
 }
 
-void CallerConnection::rejectMessage(HttpProblem reason)
+void CallerConnection::rejectMessage(HttpError reason)
 {
     context_.countError(reason);
     clearDeadline();
     const bool acceptsChunked = true;
-    HttpAnswer answer(false, acceptsChunked, false, context_.init->holdBytes);
-    auto reply = context_.handlers->problem(reason);
-    reply.close = true;
+    HttpAnswer answer(false, acceptsChunked, false, context_.init->maxHeldBytes);
+    auto reply = context_.handlers->errorReply(reason);
+    reply.closesConnection = true;
     answer.reply(reply);
     output_.append(answer.output());
     answerEnd_ = AnswerEnd::Close;
@@ -286,7 +286,7 @@
     close();
     if (exchange) {
         context_.endExchange(exchange);
-        context_.handlers->gone(exchange, reason);
+        context_.handlers->disconnected(exchange, reason);
     }
 }
 
@@ -315,7 +315,7 @@
         return;
     }
     // Pipelined input stays in the socket buffer once input_ exceeds the head limit.
-    const bool isInputFull = state_ == State::Answering && input_.size() > context_.init->headLimit;
+    const bool isInputFull = state_ == State::Answering && input_.size() > context_.init->maxHeadBytes;
     int modes = errorMode;
     modes |= isInputFull ? 0 : readMode;
     modes |= writtenBytes_ < output_.size() ? writeMode : 0;
@@ -325,7 +325,7 @@
     }
 }
 
-void CallerConnection::setDeadline(Duration timeout, HttpProblem error)
+void CallerConnection::setDeadline(Duration timeout, HttpError error)
 {
     clearDeadline();
     deadlineError_ = error;
@@ -336,14 +336,14 @@
 {
     context_.loop->timers().cancel(deadline_);
     deadline_ = TimerHandle{};
-    deadlineError_ = HttpProblem::None;
+    deadlineError_ = HttpError::None;
 }
 
 void CallerConnection::onDeadline()
 {
     deadline_ = TimerHandle{};
     const bool hasPartialRequest = state_ == State::Body || !input_.empty();
-    if (deadlineError_ != HttpProblem::None && hasPartialRequest) {
+    if (deadlineError_ != HttpError::None && hasPartialRequest) {
         rejectMessage(deadlineError_);
     } else {
         close();
--- a/src/net/caller_connection.h
+++ b/src/net/caller_connection.h
@@ -16,7 +16,7 @@
     EventLoop *loop = nullptr;
     std::function<HttpExchange(std::uint64_t connection)> newExchange;
     std::function<void(HttpExchange)> endExchange;
-    std::function<void(HttpProblem)> countError;
+    std::function<void(HttpError)> countError;
     std::function<void()> countSlowReader;
     std::function<void(std::uint64_t connection)> onClosed;
     const HttpServer::Handlers *handlers = nullptr;
@@ -45,7 +45,7 @@
     /// Closes the connection if no exchange is in progress.
     void closeIfIdle();
     /// Sends an error response and closes; used for connections over the limit.
-    void refuse(HttpProblem reason);
+    void refuse(HttpError reason);
 
 private:
     enum class State : std::uint8_t {
@@ -66,11 +66,11 @@
     void collectOutput();
     void writeOutput();
     void onOutputWritten();
-    void rejectMessage(HttpProblem reason);
+    void rejectMessage(HttpError reason);
     void onDisconnected(FailureReason reason);
     void close();
     void updatePollModes();
-    void setDeadline(Duration timeout, HttpProblem error);
+    void setDeadline(Duration timeout, HttpError error);
     void clearDeadline();
     void updateWriteTimer();
     void onDeadline();
@@ -91,7 +91,7 @@
     bool hasInputEnded_ = false;
     int pollModes_ = 0;
     TimerHandle deadline_;
-    HttpProblem deadlineError_ = HttpProblem::None;
+    HttpError deadlineError_ = HttpError::None;
     TimerHandle writeTimer_;
     std::uint64_t totalWrittenBytes_ = 0;
     std::uint64_t writtenAtTimerStart_ = 0;
--- a/src/net/http_answer.cpp
+++ b/src/net/http_answer.cpp
@@ -41,7 +41,7 @@
     status_ = reply.status;
     headers_ = reply.headers;
     heldBody_ = reply.body;
-    keepAlive_ = keepAlive_ && !reply.close;
+    keepAlive_ = keepAlive_ && !reply.closesConnection;
     isEventStream_ = false;
     finish();
 }
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -174,7 +174,7 @@
 ExchangeId HttpClient::Impl::start(const EndpointRequest &request, Duration timeout, ExchangeHandlers handlers)
 {
     counts.requests += 1;
-    auto *connection = request.freshConnection ? nullptr : takeIdleConnection();
+    auto *connection = request.needsNewConnection ? nullptr : takeIdleConnection();
     const bool isReused = connection != nullptr;
     if (!isReused) {
         connection = openConnection();
@@ -430,7 +430,7 @@
     const auto handler = std::move(connection.handlers.end);
     connection.handlers = ExchangeHandlers{};
     const bool isReusable = end == ExchangeEnd::Complete && connection.response.keepAlive && connection.input.empty()
-                            && connection.output.empty() && idleKeys.size() < init.keepConnections;
+                            && connection.output.empty() && idleKeys.size() < init.maxIdleConnections;
     if (isReusable) {
         makeIdle(connection);
     } else {
@@ -462,22 +462,23 @@
     constexpr std::string_view parameter = "timeout=";
     const auto *keepAliveHeader = findHeader(response.headers, "Keep-Alive");
     const auto position = keepAliveHeader == nullptr ? std::string::npos : keepAliveHeader->find(parameter);
-    if (init.keepMargin == Duration(0) || position == std::string::npos) {
-        return init.keepIdle;
+    if (init.idleMargin == Duration(0) || position == std::string::npos) {
+        return init.maxIdleTime;
     }
     unsigned seconds = 0;
     const auto *digits = keepAliveHeader->data() + position + parameter.size();
     if (std::from_chars(digits, keepAliveHeader->data() + keepAliveHeader->size(), seconds).ec != std::errc()) {
-        return init.keepIdle;
+        return init.maxIdleTime;
     }
-    return std::max(Duration(0), Seconds(seconds) - init.keepMargin);
+    return std::max(Duration(0), Seconds(seconds) - init.idleMargin);
 }
 
 // One timer serves all idle connections, as most are reused before they expire.
 void HttpClient::Impl::scheduleExpiry()
 {
     if (!expiryTimer && !idleKeys.empty()) {
-        expiryTimer = loop.timers().subscribe(EventLoop::now() + init.keepIdle, [this](TimePoint) { closeExpired(); });
+        expiryTimer =
+            loop.timers().subscribe(EventLoop::now() + init.maxIdleTime, [this](TimePoint) { closeExpired(); });
     }
 }
 
@@ -495,7 +496,7 @@
     scheduleExpiry();
 }
 
-void HttpClient::dropIdle()
+void HttpClient::closeIdleConnections()
 {
     const auto keys = impl_->idleKeys;
     for (const auto key : keys) {
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -91,16 +91,16 @@
 }
 
 /// Returns the body framing that the headers give; nullopt if they give none.
-tl::expected<std::optional<HttpBodyReader>, HttpProblem> readFraming(const HttpHeaders &headers)
+tl::expected<std::optional<HttpBodyReader>, HttpError> readFraming(const HttpHeaders &headers)
 {
     const auto lengthCount = countHeader(headers, "Content-Length");
     const auto encodingCount = countHeader(headers, "Transfer-Encoding");
     if (lengthCount > 1 || encodingCount > 1 || (lengthCount != 0 && encodingCount != 0)) {
-        return tl::unexpected(HttpProblem::BadHead);
+        return tl::unexpected(HttpError::BadHead);
     }
     if (encodingCount != 0) {
         if (Poco::icompare(*findHeader(headers, "Transfer-Encoding"), "chunked") != 0) {
-            return tl::unexpected(HttpProblem::UnsupportedEncoding);
+            return tl::unexpected(HttpError::UnsupportedEncoding);
         }
         return HttpBodyReader(HttpBodyReader::Framing::Chunked, 0);
     }
@@ -109,7 +109,7 @@
     }
     const auto length = parseNumber(*findHeader(headers, "Content-Length"), 10);
     if (!length) {
-        return tl::unexpected(HttpProblem::BadHead);
+        return tl::unexpected(HttpError::BadHead);
     }
     return HttpBodyReader(HttpBodyReader::Framing::Length, *length);
 }
@@ -136,10 +136,10 @@
     return std::find(names.begin(), names.end(), lower) != names.end() || lower == "expect";
 }
 
-std::uint32_t statusOf(HttpProblem reason)
+std::uint32_t statusOf(HttpError reason)
 {
-    static constexpr std::array<std::uint32_t, enumCount<HttpProblem>> table{200, 400, 431, 400, 413,
-                                                                             501, 417, 408, 408, 503};
+    static constexpr std::array<std::uint32_t, enumCount<HttpError>> table{200, 400, 431, 400, 413,
+                                                                           501, 417, 408, 408, 503};
     return table[static_cast<std::size_t>(reason)];
 }
 
@@ -238,22 +238,22 @@
     return end == std::string_view::npos ? 0 : end + headEnd.size();
 }
 
-tl::expected<std::pair<HttpRequestData, HttpBodyReader>, HttpProblem> parseRequestHead(std::string_view head,
-                                                                                       std::uint64_t maxBodyBytes)
+tl::expected<std::pair<HttpRequestData, HttpBodyReader>, HttpError> parseRequestHead(std::string_view head,
+                                                                                     std::uint64_t maxBodyBytes)
 {
     if (!isStrictHead(head)) {
-        return tl::unexpected(HttpProblem::BadHead);
+        return tl::unexpected(HttpError::BadHead);
     }
     Poco::Net::HTTPRequest request;
     std::istringstream stream{std::string(head)};
     try {
         request.read(stream);
     } catch (const Poco::Exception &) {
-        return tl::unexpected(HttpProblem::BadHead);
+        return tl::unexpected(HttpError::BadHead);
     }
     const bool isHttp11 = request.getVersion() == Poco::Net::HTTPMessage::HTTP_1_1;
     if (!isHttp11 && request.getVersion() != Poco::Net::HTTPMessage::HTTP_1_0) {
-        return tl::unexpected(HttpProblem::BadHead);
+        return tl::unexpected(HttpError::BadHead);
     }
     HttpRequestData data;
     data.method = request.getMethod();
@@ -264,7 +264,7 @@
     const bool hasValidHost = !isHttp11 || countHeader(data.headers, "Host") == 1;
     if (data.target.empty() || data.target[0] != '/' || !hasValidHost
         || !std::all_of(data.method.begin(), data.method.end(), isTokenCharacter)) {
-        return tl::unexpected(HttpProblem::BadHead);
+        return tl::unexpected(HttpError::BadHead);
     }
     const auto framing = readFraming(data.headers);
     if (!framing) {
@@ -272,26 +272,26 @@
     }
     const auto *length = findHeader(data.headers, "Content-Length");
     if (length != nullptr && parseNumber(*length, 10).value_or(0) > maxBodyBytes) {
-        return tl::unexpected(HttpProblem::BodyTooLarge);
+        return tl::unexpected(HttpError::BodyTooLarge);
     }
     const auto *expect = findHeader(data.headers, "Expect");
     if (expect != nullptr && Poco::icompare(*expect, "100-continue") != 0) {
-        return tl::unexpected(HttpProblem::ExpectationFailed);
+        return tl::unexpected(HttpError::ExpectationFailed);
     }
     return std::pair(std::move(data), framing->value_or(HttpBodyReader()));
 }
 
-tl::expected<HttpResponseHead, HttpProblem> parseResponseHead(std::string_view head, bool isHeadRequest)
+tl::expected<HttpResponseHead, HttpError> parseResponseHead(std::string_view head, bool isHeadRequest)
 {
     if (!isStrictHead(head)) {
-        return tl::unexpected(HttpProblem::BadHead);
+        return tl::unexpected(HttpError::BadHead);
     }
     Poco::Net::HTTPResponse response;
     std::istringstream stream{std::string(head)};
     try {
         response.read(stream);
     } catch (const Poco::Exception &) {
-        return tl::unexpected(HttpProblem::BadHead);
+        return tl::unexpected(HttpError::BadHead);
     }
     HttpResponseHead result;
     result.status = static_cast<std::uint32_t>(response.getStatus());
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -22,7 +22,7 @@
 
 struct AtomicStats
 {
-    std::array<std::atomic<std::uint64_t>, enumCount<HttpProblem>> problems{};
+    std::array<std::atomic<std::uint64_t>, enumCount<HttpError>> problems{};
     std::atomic<std::uint64_t> connections = 0;
     std::atomic<std::uint64_t> requests = 0;
     std::atomic<std::uint64_t> slowReadersCut = 0;
@@ -142,7 +142,7 @@
         return exchange;
     };
     context.endExchange = [worker](HttpExchange exchange) { worker->connectionByExchange.erase(exchange.value); };
-    context.countError = [this](HttpProblem error) { stats.problems[static_cast<std::size_t>(error)] += 1; };
+    context.countError = [this](HttpError error) { stats.problems[static_cast<std::size_t>(error)] += 1; };
     context.countSlowReader = [this] { stats.slowReadersCut += 1; };
     context.onClosed = [this, worker](std::uint64_t connection) {
         if (worker->connections.erase(connection) != 0) {
@@ -184,7 +184,7 @@
         return false; // closed by the caller, or out of descriptors: retried when the listener is ready again
     }
     stats.connections += 1;
-    const bool isOverLimit = stats.open.fetch_add(1) >= init.connectionLimit;
+    const bool isOverLimit = stats.open.fetch_add(1) >= init.maxConnections;
     auto &worker = *workers[nextWorker++ % workers.size()];
     worker.loop->post([this, &worker, socket, isOverLimit] { addConnection(worker, socket, isOverLimit); });
     return true;
@@ -198,7 +198,7 @@
         auto *newConnection = connection.get();
         worker.connections.emplace(id, std::move(connection));
         if (isOverLimit) {
-            newConnection->refuse(HttpProblem::ConnectionLimit);
+            newConnection->refuse(HttpError::ConnectionLimit);
         }
     } catch (const Poco::Exception &) {
         stats.open -= 1; // reset by the caller during setup
@@ -316,8 +316,8 @@
     for (auto &worker : impl_->workers) {
         worker->loop->post([worker = worker.get(), maxHeadBytes, maxBodyBytes, headTimeout, idleTimeout] {
             auto &limits = worker->limits;
-            limits.headLimit = maxHeadBytes;
-            limits.bodyLimit = maxBodyBytes;
+            limits.maxHeadBytes = maxHeadBytes;
+            limits.maxBodyBytes = maxBodyBytes;
             limits.headTimeout = headTimeout;
             limits.idleTimeout = idleTimeout;
         });
@@ -332,13 +332,13 @@
 HttpServerStats HttpServer::stats() const
 {
     HttpServerStats result;
-    for (std::size_t i = 0; i < enumCount<HttpProblem>; ++i) {
-        result.problems.add(static_cast<HttpProblem>(i), impl_->stats.problems[i]);
+    for (std::size_t i = 0; i < enumCount<HttpError>; ++i) {
+        result.errors.add(static_cast<HttpError>(i), impl_->stats.problems[i]);
     }
     result.connections = impl_->stats.connections;
     result.requests = impl_->stats.requests;
     result.slowReadersCut = impl_->stats.slowReadersCut;
-    result.open = impl_->stats.open;
+    result.openConnections = impl_->stats.open;
     return result;
 }
 
--- a/src/net/messenger_thread.cpp
+++ b/src/net/messenger_thread.cpp
@@ -79,7 +79,7 @@
         sendWaiting(*target);
         expireWaiting(*target);
     }
-    if (init.lifeSign == LifeSign::KeepAlive) {
+    if (init.livenessCheck == LivenessCheck::KeepAlive) {
         reopenSilentTargets();
     }
 }
@@ -96,7 +96,7 @@
             continue;
         }
         *target->lastReceivedAt += pausedTime;
-        if (now - *target->lastReceivedAt < init.silence) {
+        if (now - *target->lastReceivedAt < init.silenceTimeout) {
             continue;
         }
         reopenConnection(*target);
@@ -200,9 +200,9 @@
 
 void Messenger::Impl::configureLiveness(zmq::socket_t &socket) const
 {
-    if (init.lifeSign == LifeSign::Heartbeats) {
+    if (init.livenessCheck == LivenessCheck::Heartbeats) {
         socket.set(zmq::sockopt::heartbeat_ivl, static_cast<int>(init.heartbeat.count() / 1000));
-        socket.set(zmq::sockopt::heartbeat_timeout, static_cast<int>(init.silence.count() / 1000));
+        socket.set(zmq::sockopt::heartbeat_timeout, static_cast<int>(init.silenceTimeout.count() / 1000));
         return;
     }
     socket.set(zmq::sockopt::tcp_keepalive, 1);
@@ -333,7 +333,7 @@
 // Fails messages that have waited too long, so that their calls can be routed elsewhere.
 void Messenger::Impl::expireWaiting(Target &target)
 {
-    const auto minQueuedAt = std::chrono::steady_clock::now() - init.silence;
+    const auto minQueuedAt = std::chrono::steady_clock::now() - init.silenceTimeout;
     while (!target.waitingMessages.empty() && target.waitingMessages.front().queuedAt < minQueuedAt) {
         onSendFailed(target.waitingMessages.front(), MessageDrop::PeerGone);
         target.waitingMessages.pop_front();
--- a/src/net/model_call.cpp
+++ b/src/net/model_call.cpp
@@ -48,7 +48,7 @@
 {
 public:
     ModelCallInfo info;
-    BodyProblem error = BodyProblem::None;
+    BodyError error = BodyError::None;
     bool isObject = false;
     bool hasRepeatedMember = false; // a top-level member occurs twice
 
@@ -145,7 +145,7 @@
     void setWrongTypeIf(bool isWrong)
     {
         if (isWrong) {
-            error = BodyProblem::WrongType;
+            error = BodyError::WrongType;
         }
     }
     void onNumber(std::int64_t number)
@@ -284,13 +284,13 @@
 
 } // namespace
 
-tl::expected<ModelCallInfo, BodyProblem> readModelCall(std::string_view body, std::uint32_t maxDepth)
+tl::expected<ModelCallInfo, BodyError> readModelCall(std::string_view body, std::uint32_t maxDepth)
 {
     if (!isUtf8(body)) {
-        return tl::unexpected(BodyProblem::NotUtf8);
+        return tl::unexpected(BodyError::NotUtf8);
     }
     if (isTooDeep(body, maxDepth)) {
-        return tl::unexpected(BodyProblem::TooDeep);
+        return tl::unexpected(BodyError::TooDeep);
     }
     Poco::SharedPtr<ModelCallHandler> handler(new ModelCallHandler);
     try {
@@ -298,13 +298,13 @@
         parser.setDepth(maxDepth + 1);
         parser.parse(std::string(body));
     } catch (const Poco::Exception &) {
-        return tl::unexpected(BodyProblem::NotJson);
+        return tl::unexpected(BodyError::NotJson);
     }
     handler->finish();
     if (!handler->isObject) {
-        return tl::unexpected(BodyProblem::NotObject);
+        return tl::unexpected(BodyError::NotObject);
     }
-    if (handler->error != BodyProblem::None) {
+    if (handler->error != BodyError::None) {
         return tl::unexpected(handler->error);
     }
     // With two "model" members the entry and the engine could each use a different one, and the wrong adapter would
@@ -313,10 +313,10 @@
         return handler->memberNames().count(std::string(member.name)) != 0 && !findMember(body, member.quotedName);
     });
     if (handler->hasRepeatedMember || hasHiddenMember) {
-        return tl::unexpected(BodyProblem::MemberTwice);
+        return tl::unexpected(BodyError::MemberTwice);
     }
     if (handler->info.model.empty()) {
-        return tl::unexpected(BodyProblem::ModelMissing);
+        return tl::unexpected(BodyError::ModelMissing);
     }
     return handler->info;
 }
--- a/src/platform/etcd_codec.cpp
+++ b/src/platform/etcd_codec.cpp
@@ -307,7 +307,7 @@
         for (std::size_t i = 0; !events.isNull() && i < events->size(); ++i) {
             const auto event = events->getObject(static_cast<unsigned>(i));
             KvEntry entry = readEntry(*event->getObject("kv"));
-            entry.deleted = readText(*event, "type") == "DELETE";
+            entry.isDeleted = readText(*event, "type") == "DELETE";
             message.entries.push_back(std::move(entry));
         }
         message.isValid = true;
--- a/src/platform/etcd_watch.cpp
+++ b/src/platform/etcd_watch.cpp
@@ -70,7 +70,7 @@
     if (isStopped_) {
         return;
     }
-    KvReply reply{.id = request_.id, .status = status, .event = event};
+    KvReply reply{.id = request_.id, .status = status, .isEvent = event};
     reply.entries = std::move(entries);
     reply.storeRevision = storeRevision_;
     shared_.sendReply(KvOp::Watch, std::move(reply));
--- a/src/platform/gateway_shared.h
+++ b/src/platform/gateway_shared.h
@@ -49,7 +49,7 @@
     {
         {
             const std::scoped_lock lock(mutex_);
-            if (!reply.event) {
+            if (!reply.isEvent) {
                 stats_.replies[static_cast<std::size_t>(op)].add(reply.status);
             }
         }
--- a/src/residency/key_guard.cpp
+++ b/src/residency/key_guard.cpp
@@ -29,20 +29,20 @@
 KeyDecision KeyGuard::admit(const std::string &key, std::uint64_t fingerprint, const ServiceView &service,
                             const SlotOwnership &ownership, ExecutionHandle execution, Now now)
 {
-    return seen_.admit(key, fingerprint, service, ownership.takenAt, execution, now);
+    return seen_.admit(key, fingerprint, service, ownership.minKeyTime, execution, now);
 }
 
 bool KeyGuard::provesNotRun(const std::string &key, std::uint64_t fingerprint, const ServiceView &service, Now now)
 {
     const auto owned = ownership(key, service, now);
-    if (!owned.owned) {
+    if (!owned.isOwned) {
         return false;
     }
-    const auto decision = seen_.admit(key, fingerprint, service, owned.takenAt, ExecutionHandle{1}, now);
+    const auto decision = seen_.admit(key, fingerprint, service, owned.minKeyTime, ExecutionHandle{1}, now);
     if (decision.kind == KeyDecisionKind::Run) {
         seen_.release(key);
     }
-    return decision.kind == KeyDecisionKind::Run || decision.provedNotRun;
+    return decision.kind == KeyDecisionKind::Run || decision.isProvenNotRun;
 }
 
 void KeyGuard::release(const std::string &key)
@@ -50,7 +50,7 @@
     seen_.release(key);
 }
 
-void KeyGuard::finish(const std::string &key, KeptAnswer &&answer, Now now)
+void KeyGuard::finish(const std::string &key, CachedAnswer &&answer, Now now)
 {
     seen_.finish(key, std::move(answer), now);
 }
--- a/src/residency/key_guard.h
+++ b/src/residency/key_guard.h
@@ -33,7 +33,7 @@
     /// Returns true if the key certainly never ran. Required before a refusal for another reason may claim "not run".
     bool provesNotRun(const std::string &key, std::uint64_t fingerprint, const ServiceView &service, Now now);
     void release(const std::string &key);
-    void finish(const std::string &key, KeptAnswer &&answer, Now now);
+    void finish(const std::string &key, CachedAnswer &&answer, Now now);
     void expire(const ServiceView &service, Now now);
 
 private:
--- a/src/residency/sidecar.cpp
+++ b/src/residency/sidecar.cpp
@@ -29,7 +29,7 @@
 SidecarDecisions::Impl::Impl(SidecarInit given)
     : init_(std::move(given))
     , random_(init_.seed)
-    , queueOrder_(makeQueueOrder(init_.overload.order, starvationBound))
+    , queueOrder_(makeQueueOrder(init_.overload.queuePolicy, starvationBound))
     , adapters_(init_.safeguards)
     , recovery_(recoveryRules(init_))
 {
@@ -236,8 +236,8 @@
     impl_->reconcile(now);
 }
 
-void SidecarDecisions::onExecutionEnded(ExecutionHandle execution, KeptAnswer answer, std::uint32_t /*generatedTokens*/,
-                                        Now now)
+void SidecarDecisions::onExecutionEnded(ExecutionHandle execution, CachedAnswer answer,
+                                        std::uint32_t /*generatedTokens*/, Now now)
 {
     impl_->onExecutionEnded(execution, std::move(answer), now);
     impl_->reconcile(now);
@@ -325,7 +325,7 @@
     return states;
 }
 
-bool SidecarDecisions::leaving() const
+bool SidecarDecisions::isLeaving() const
 {
     return impl_->isLeaving_;
 }
--- a/src/residency/sidecar.h
+++ b/src/residency/sidecar.h
@@ -166,7 +166,7 @@
     /// Returns true if a refusal may claim that no attempt with the request's key ran.
     bool provesNotRun(const wire::CallRequest &request, Now now);
     void releaseKey(const std::string &service, const std::string &key);
-    void finishKey(const Execution &execution, KeptAnswer &&answer, Now now);
+    void finishKey(const Execution &execution, CachedAnswer &&answer, Now now);
     void expireKeys(Now now);
     void drainGuards(Now now);
     bool guardsDrained(Now now);
@@ -177,8 +177,8 @@
     void startCall(CallQueue::Iterator it, Now now);
     void recordStall(const WaitingCall &call, wire::CallRequest &request, TimePoint now);
     void onExecutionStarted(ExecutionHandle handle, Now now);
-    void onExecutionEnded(ExecutionHandle handle, KeptAnswer &&answer, Now now);
-    void releasePin(Execution &execution, const KeptAnswer &answer, Now now);
+    void onExecutionEnded(ExecutionHandle handle, CachedAnswer &&answer, Now now);
+    void releasePin(Execution &execution, const CachedAnswer &answer, Now now);
     void onCancel(const wire::CallCancel &cancel, Now now);
     void detachFromWaiting(const AttemptKey &attempt, Now now);
     void detachFromRunning(const AttemptKey &attempt, Now now);
--- a/src/residency/sidecar_calls.cpp
+++ b/src/residency/sidecar_calls.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Returns true if the endpoint has certainly stopped working on the call.
-bool hasEndpointFinished(const KeptAnswer &answer)
+bool hasEndpointFinished(const CachedAnswer &answer)
 {
     if (answer.outcome == CallOutcome::Complete || answer.outcome == CallOutcome::Cancelled) {
         return true;
@@ -112,7 +112,7 @@
     }
 }
 
-void SidecarDecisions::Impl::onExecutionEnded(ExecutionHandle handle, KeptAnswer &&answer, Now now)
+void SidecarDecisions::Impl::onExecutionEnded(ExecutionHandle handle, CachedAnswer &&answer, Now now)
 {
     auto *execution = executions_.find(handle);
     if (execution == nullptr) {
@@ -129,7 +129,7 @@
     executions_.erase(handle);
 }
 
-void SidecarDecisions::Impl::releasePin(Execution &execution, const KeptAnswer &answer, Now now)
+void SidecarDecisions::Impl::releasePin(Execution &execution, const CachedAnswer &answer, Now now)
 {
     auto *record = adapters_.find(execution.which);
     if (record == nullptr || !execution.isPinned) {
--- a/src/residency/sidecar_keys.cpp
+++ b/src/residency/sidecar_keys.cpp
@@ -54,7 +54,7 @@
             message.set_message_id(++lastMessage_);
             actions_.emplace_back(SendMessage{{}, std::move(message), member});
         };
-        init.owner.beforeGiving = [this, service](std::uint32_t slot) { refuseSlotCalls(service, slot); };
+        init.owner.beforeTransfer = [this, service](std::uint32_t slot) { refuseSlotCalls(service, slot); };
         const auto submit = [this](KvRequest request) { actions_.emplace_back(SubmitKv{std::move(request)}); };
         auto &guard = *guards_.emplace(service, std::make_unique<KeyGuard>(std::move(init), submit)).first->second;
         guard.owner().start(now);
@@ -86,7 +86,7 @@
     if (request.key().empty()) {
         return RefusalDetail{RefusalReason::KeyMissing};
     }
-    if (!keyTime(request.key())) {
+    if (!parseKeyTime(request.key())) {
         return RefusalDetail{RefusalReason::KeyInvalid};
     }
     if (guard == nullptr) {
@@ -95,7 +95,7 @@
     const auto ownership = guard->ownership(request.key(), view, now);
     // A different fencing number means that the entry's slot table is out of date; the refusal makes it read it again.
     const bool hasOtherFence = request.slot_fence() != 0 && request.slot_fence() != ownership.fence;
-    if (!ownership.owned || hasOtherFence) {
+    if (!ownership.isOwned || hasOtherFence) {
         return RefusalDetail{RefusalReason::NotSlotOwner, true, random_.jitter(ownerRetryDelay), ownership.fence};
     }
     call.slotFence = ownership.fence;
@@ -115,7 +115,7 @@
         actions_.emplace_back(ReplayAnswer{listener.peer, listener.attempt.toWire(), std::move(decision.answer)});
         return std::nullopt;
     default:
-        return RefusalDetail{decision.reason, decision.provedNotRun, {}, ownership.fence};
+        return RefusalDetail{decision.reason, decision.isProvenNotRun, {}, ownership.fence};
     }
 }
 
@@ -168,7 +168,7 @@
         return false;
     }
     const auto ownership = guard->ownership(call.request.key(), *view, now);
-    return ownership.owned && ownership.fence == call.slotFence;
+    return ownership.isOwned && ownership.fence == call.slotFence;
 }
 
 bool SidecarDecisions::Impl::provesNotRun(const wire::CallRequest &request, Now now)
@@ -188,7 +188,7 @@
     }
 }
 
-void SidecarDecisions::Impl::finishKey(const Execution &execution, KeptAnswer &&answer, Now now)
+void SidecarDecisions::Impl::finishKey(const Execution &execution, CachedAnswer &&answer, Now now)
 {
     auto *guard = findGuard(execution.service);
     if (!execution.isAtMostOnce || guard == nullptr) {
@@ -224,7 +224,7 @@
 bool SidecarDecisions::Impl::guardsDrained(Now now)
 {
     const bool isEveryGuardDrained =
-        std::ranges::all_of(guards_, [](const auto &entry) { return entry.second->owner().drained(); });
+        std::ranges::all_of(guards_, [](const auto &entry) { return entry.second->owner().isDrained(); });
     return isEveryGuardDrained || guardsDeadline_ <= now.mono;
 }
 
--- a/src/residency/sidecar_loads.cpp
+++ b/src/residency/sidecar_loads.cpp
@@ -170,7 +170,7 @@
         // Without a scheduler each sidecar uses its share of the weight store's rate at jittered times, so that all
         // together stay near the limit without coordination.
         const double mean = static_cast<double>(liveSidecarCount_) / std::max(policy().loadRate, 0.001);
-        nextLocalLoadAt_ = now.mono + Duration(std::llround(mean * (0.5 + random_.unit()) * 1e6));
+        nextLocalLoadAt_ = now.mono + Duration(std::llround(mean * (0.5 + random_.uniform()) * 1e6));
         return advanceLoads(now);
     }
 }
--- a/src/routing/demand_table.cpp
+++ b/src/routing/demand_table.cpp
@@ -96,7 +96,7 @@
         clearAdapters(sidecar);
     }
     for (const auto &state : heartbeat.adapters()) {
-        const auto key = AdapterVersion{state.adapter(), state.version()}.key64();
+        const auto key = AdapterVersion{state.adapter(), state.version()}.hash();
         setAdapter(sidecar, key, fromWire(state.state(), ResidencyState::Unknown));
     }
     // Membership may not change again after the last heartbeat of a leaving or suspect sidecar. Its load must not block
@@ -106,7 +106,7 @@
     }
     sidecar.demands.clear();
     for (const auto &demand : heartbeat.demands()) {
-        const auto key = AdapterVersion{demand.adapter(), demand.version()}.key64();
+        const auto key = AdapterVersion{demand.adapter(), demand.version()}.hash();
         sidecar.demands[key] = demandFromWire(demand, now);
     }
     updateDemandIndex(heartbeat.from().name(), sidecar);
--- a/src/routing/entry_attempts_impl.h
+++ b/src/routing/entry_attempts_impl.h
@@ -29,7 +29,7 @@
     out.set_key(call.request.key);
     out.set_slot_fence(init_.safeguards.slotFence ? attempt.slotFence : 0);
     out.set_budget_us(static_cast<std::uint64_t>(call.timeLeft(now.mono).count()));
-    out.set_stream(call.request.stream);
+    out.set_stream(call.request.isStreaming);
     out.set_method(call.request.method);
     out.set_path(call.request.path);
     for (const auto &[name, value] : call.request.headers) {
@@ -318,7 +318,7 @@
 {
     DeliverFrame out;
     out.call = call.handle;
-    out.begin = !call.hasDelivered;
+    out.isFirst = !call.hasDelivered;
     out.status = frame.status();
     for (const auto &header : frame.headers()) {
         out.headers.emplace_back(header.name(), header.value());
@@ -361,7 +361,7 @@
     }
     // Holds back at most half the credit: the sidecar stops at the full credit until the caller reads bytes.
     const bool shouldDeliver =
-        call->request.stream || call->hasDelivered || call->heldBytes * 2 >= call->request.creditBytes;
+        call->request.isStreaming || call->hasDelivered || call->heldBytes * 2 >= call->request.creditBytes;
     if (shouldDeliver) {
         deliverHeldFrames(*call);
     }
--- a/src/routing/entry_calls_impl.h
+++ b/src/routing/entry_calls_impl.h
@@ -46,7 +46,7 @@
     }
     call.target = route->target;
     call.baseModel = route->baseModel;
-    call.adapterKey = route->target.key64();
+    call.adapterKey = route->target.hash();
     call.callClass = route->callClass;
     call.deadline = call.arrivedAt + route->deadline;
     call.isIdempotent = true;
@@ -69,7 +69,7 @@
     if (call.request.key.empty()) {
         return RefusalReason::KeyMissing;
     }
-    if (!keyTime(call.request.key)) {
+    if (!parseKeyTime(call.request.key)) {
         // Every entry and sidecar refuses an invalid key, so it has never run.
         call.keyProof = KeyProof::OwnerProved;
         return RefusalReason::KeyInvalid;
@@ -107,7 +107,7 @@
         return;
     }
     auto &call = position->second;
-    stats_.open = static_cast<std::uint32_t>(calls_.size());
+    stats_.openCalls = static_cast<std::uint32_t>(calls_.size());
     call.handle = handle;
     call.request = std::move(request);
     call.arrivedAt = now.mono;
@@ -287,7 +287,7 @@
 void EntryCore<Traits>::finish(EntryCall &call, bool replayed)
 {
     deliverHeldFrames(call);
-    ++stats_.finished;
+    ++stats_.finishedCalls;
     actions_.emplace_back(FinishCall{call.handle, replayed});
     remove(call);
 }
@@ -305,7 +305,7 @@
         closeAttempt(attempt, attempt.outcome);
     }
     calls_.erase(call.handle.value);
-    stats_.open = static_cast<std::uint32_t>(calls_.size());
+    stats_.openCalls = static_cast<std::uint32_t>(calls_.size());
 }
 
 template<class Traits>
@@ -396,7 +396,7 @@
     if (out.refusal != RefusalReason::None) {
         return out;
     }
-    out.known = true;
+    out.isKnown = true;
     out.target = call.target;
     for (const auto index : fleet_.holders(call.adapterKey)) {
         const auto &view = fleet_.at(index);
@@ -406,7 +406,7 @@
     auto random = random_;
     const auto choice = placement_.choose(fleet_, makePlacementRequest(call, now.mono), random);
     if (choice) {
-        out.choice = fleet_.at(choice->sidecar).name;
+        out.chosenSidecar = fleet_.at(choice->sidecar).name;
     } else {
         out.refusal = RefusalReason::NoEndpoint;
     }
--- a/src/routing/entry_decisions.cpp
+++ b/src/routing/entry_decisions.cpp
@@ -25,7 +25,7 @@
     impl_->core.onCallerGone(call, reason, now);
 }
 
-void EntryDecisions::onCallerTook(CallHandle call, std::uint64_t bytes, Now /*now*/)
+void EntryDecisions::onCallerRead(CallHandle call, std::uint64_t bytes, Now /*now*/)
 {
     impl_->core.onCallerRead(call, bytes);
 }
@@ -40,7 +40,7 @@
     impl_->core.onSendFailed(sidecar, id, now);
 }
 
-void EntryDecisions::onConversationLost(const std::string &sidecar, Now now)
+void EntryDecisions::onConnectionLost(const std::string &sidecar, Now now)
 {
     impl_->core.onConnectionLost(sidecar, now);
 }
--- a/src/routing/fleet_view.cpp
+++ b/src/routing/fleet_view.cpp
@@ -74,7 +74,7 @@
 void FleetView::setAdapter(SidecarIndex sidecar, const wire::AdapterState &state)
 {
     auto &view = sidecars_[sidecar];
-    const auto key = AdapterVersion{state.adapter(), state.version()}.key64();
+    const auto key = AdapterVersion{state.adapter(), state.version()}.hash();
     const auto residency = fromWire(state.state(), ResidencyState::Unknown);
     auto &holders = holders_[key];
     std::erase(holders, sidecar);
--- a/src/routing/load_scheduler.cpp
+++ b/src/routing/load_scheduler.cpp
@@ -284,7 +284,7 @@
     impl_->grantLoads(now.mono);
 }
 
-void LoadScheduler::onTakeOver(Now now)
+void LoadScheduler::onLeaseAcquired(Now now)
 {
     impl_->inFlightLoads.clear();
     impl_->lastHelloAt.clear();
--- a/src/routing/naive_entry.cpp
+++ b/src/routing/naive_entry.cpp
@@ -25,7 +25,7 @@
     impl_->core.onCallerGone(call, reason, now);
 }
 
-void NaiveEntryDecisions::onCallerTook(CallHandle call, std::uint64_t bytes, Now /*now*/)
+void NaiveEntryDecisions::onCallerRead(CallHandle call, std::uint64_t bytes, Now /*now*/)
 {
     impl_->core.onCallerRead(call, bytes);
 }
--- a/src/routing/naive_placement.cpp
+++ b/src/routing/naive_placement.cpp
@@ -11,7 +11,7 @@
     const auto &group =
         request.service.empty() ? fleet.sidecarsOfModel(request.baseModel) : fleet.sidecarsOfService(request.service);
     std::optional<PlacementChoice> best;
-    const auto start = group.empty() ? 0 : random.below(group.size());
+    const auto start = group.empty() ? 0 : random.uniformBelow(group.size());
     for (std::size_t i = 0; i < group.size(); ++i) {
         const auto index = group[(start + i) % group.size()];
         const auto &view = fleet.at(index);
--- a/src/routing/placement.cpp
+++ b/src/routing/placement.cpp
@@ -105,7 +105,7 @@
     // Compares a few holders from a random start. Prevents entries with the same stale reports from all sending to one
     // sidecar.
     const auto count = std::min(holders.size(), maxSampledHolders);
-    const auto start = holders.size() > maxSampledHolders ? random.below(holders.size()) : 0;
+    const auto start = holders.size() > maxSampledHolders ? random.uniformBelow(holders.size()) : 0;
     for (std::size_t i = 0; i < holders.size() && (i < count || !best.choice); ++i) {
         const auto index = holders[(start + i) % holders.size()];
         const auto &view = fleet.at(index);
@@ -158,8 +158,8 @@
     if (candidates.empty()) {
         return std::nullopt;
     }
-    const auto first = candidates[random.below(candidates.size())];
-    const auto second = candidates[random.below(candidates.size())];
+    const auto first = candidates[random.uniformBelow(candidates.size())];
+    const auto second = candidates[random.uniformBelow(candidates.size())];
     const double firstCost = queueCost(fleet.at(first), request);
     const double secondCost = queueCost(fleet.at(second), request);
     const bool isFirstCheaper = firstCost <= secondCost;
