--- a/src/state/config_spread.cpp
+++ b/src/state/config_spread.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-struct ConfigSpread::Impl
+struct ConfigDistributor::Impl
 {
     struct Peer
     {
@@ -33,8 +33,8 @@
     Random random;
     Backoff backoff;
     ConfigReader reader;
-    std::optional<LeaseKeeper> watcherLease; // one of the data centre's watcher leases
-    std::optional<KeyFollower> headWatch; // watches the head while the lease is held
+    std::optional<LeaseHolder> watcherLease; // one of the data centre's watcher leases
+    std::optional<KeyWatcher> headWatch; // watches the head while the lease is held
     std::map<std::string, Peer> peers;
     std::string fetchPeer; // empty if no fetch is in progress
     std::uint64_t snapshotRevision = 0; // revision of the snapshot being fetched; 0 if none
@@ -52,7 +52,7 @@
 
     Impl(Init initValue, Callbacks callbackSet);
     ~Impl();
-    LeaseKeeper::Init leaseInit();
+    LeaseHolder::Init leaseInit();
     void startTimer(TimerHandle &timer, Duration wait, Now now, void (Impl::*callback)(Now));
     void poll(Now now);
     void readStore(Now now);
@@ -71,7 +71,7 @@
     void reportRejected(const ConfigError &error, Now now);
 };
 
-ConfigSpread::Impl::Impl(Init initValue, Callbacks callbackSet)
+ConfigDistributor::Impl::Impl(Init initValue, Callbacks callbackSet)
     : init(std::move(initValue))
     , callbacks(std::move(callbackSet))
     , keys{init.keyPrefix}
@@ -82,17 +82,17 @@
 {
 }
 
-ConfigSpread::Impl::~Impl()
+ConfigDistributor::Impl::~Impl()
 {
     for (const auto timer : {pollTimer, catchUpTimer, fetchTimer, pushTimer, staleTimer}) {
         init.timers->cancel(timer);
     }
 }
 
-LeaseKeeper::Init ConfigSpread::Impl::leaseInit()
+LeaseHolder::Init ConfigDistributor::Impl::leaseInit()
 {
     const auto number = init.watchers == 0 ? 0 : hash64(init.self) % init.watchers;
-    LeaseKeeper::Init result;
+    LeaseHolder::Init result;
     result.key = init.keyPrefix + "watch/" + init.dataCentre + "/" + std::to_string(number);
     result.holder = init.self;
     result.incarnation = init.incarnation;
@@ -103,7 +103,7 @@
 }
 
 /// Starts the timer unless it is already running.
-void ConfigSpread::Impl::startTimer(TimerHandle &timer, Duration wait, Now now, void (Impl::*callback)(Now))
+void ConfigDistributor::Impl::startTimer(TimerHandle &timer, Duration wait, Now now, void (Impl::*callback)(Now))
 {
     if (timer) {
         return;
@@ -114,14 +114,14 @@
     });
 }
 
-ConfigSpread::ConfigSpread(Init init, Callbacks callbacks)
+ConfigDistributor::ConfigDistributor(Init init, Callbacks callbacks)
     : impl_(std::make_unique<Impl>(std::move(init), std::move(callbacks)))
 {
 }
 
-ConfigSpread::~ConfigSpread() = default;
+ConfigDistributor::~ConfigDistributor() = default;
 
-void ConfigSpread::start(Now now)
+void ConfigDistributor::start(Now now)
 {
     impl_->confirmedAt = now.mono;
     if (impl_->init.mayWatch) {
@@ -134,7 +134,7 @@
 }
 
 /// Watchers also poll the head, so that an undetected loss of the watch delays changes by at most one poll interval.
-void ConfigSpread::Impl::poll(Now now)
+void ConfigDistributor::Impl::poll(Now now)
 {
     updateHeadWatch(now);
     const bool isWatcher = watcherLease && watcherLease->state() == LeaseState::Held;
@@ -145,7 +145,7 @@
     startTimer(pollTimer, random.jitter(2 * init.timing.configPoll), now, &Impl::poll);
 }
 
-void ConfigSpread::Impl::readStore(Now now)
+void ConfigDistributor::Impl::readStore(Now now)
 {
     if (!reader.busy()) {
         ++stats.storeReads;
@@ -153,7 +153,7 @@
     }
 }
 
-void ConfigSpread::Impl::onRead(const ConfigReader::Result &result, Now now)
+void ConfigDistributor::Impl::onRead(const ConfigReader::Result &result, Now now)
 {
     onStoreChanged(now);
     if (!result) {
@@ -179,15 +179,15 @@
     }
 }
 
-void ConfigSpread::Impl::reportRejected(const ConfigError &error, Now now)
+void ConfigDistributor::Impl::reportRejected(const ConfigError &error, Now now)
 {
-    if (callbacks.refused) {
-        callbacks.refused(error, now);
+    if (callbacks.rejected) {
+        callbacks.rejected(error, now);
     }
 }
 
 /// Reports an increased revision. Must be called after every operation that may have changed the store.
-void ConfigSpread::Impl::onStoreChanged(Now now)
+void ConfigDistributor::Impl::onStoreChanged(Now now)
 {
     const std::uint64_t revision = init.store->revision();
     if (revision == reportedRevision) {
@@ -204,7 +204,7 @@
     }
 }
 
-void ConfigSpread::Impl::pushToPeers(Now now)
+void ConfigDistributor::Impl::pushToPeers(Now now)
 {
     const std::uint64_t revision = init.store->revision();
     for (auto &[name, peer] : peers) {
@@ -229,11 +229,11 @@
 }
 
 /// Starts and stops the watch of the head, which runs only while the watcher lease is held.
-void ConfigSpread::Impl::updateHeadWatch(Now now)
+void ConfigDistributor::Impl::updateHeadWatch(Now now)
 {
     const bool isWatcher = watcherLease && watcherLease->state() == LeaseState::Held;
     if (isWatcher && !headWatch) {
-        KeyFollower::Init watchInit{keys.head(), {}, init.timers, init.timing.configPoll * 2, random.next()};
+        KeyWatcher::Init watchInit{keys.head(), {}, init.timers, init.timing.configPoll * 2, random.next()};
         headWatch.emplace(std::move(watchInit), callbacks.submit,
                           [this](const std::vector<KvEntry> &, bool, Now at) { readStore(at); });
         headWatch->start(now);
@@ -243,7 +243,7 @@
     }
 }
 
-void ConfigSpread::Impl::catchUp(Now now)
+void ConfigDistributor::Impl::catchUp(Now now)
 {
     if (!fetchPeer.empty()) {
         return;
@@ -263,7 +263,7 @@
     }
 }
 
-void ConfigSpread::Impl::sendFetch(const std::string &peer, Now now)
+void ConfigDistributor::Impl::sendFetch(const std::string &peer, Now now)
 {
     fetchPeer = peer;
     wire::Envelope envelope;
@@ -279,7 +279,7 @@
     callbacks.sendToPeer(peer, std::move(envelope));
 }
 
-void ConfigSpread::Impl::endFetch()
+void ConfigDistributor::Impl::endFetch()
 {
     fetchPeer.clear();
     snapshotRevision = 0;
@@ -287,20 +287,20 @@
     init.timers->cancel(std::exchange(fetchTimer, {}));
 }
 
-void ConfigSpread::Impl::onFetchTimeout(Now now)
+void ConfigDistributor::Impl::onFetchTimeout(Now now)
 {
     peers.erase(fetchPeer); // use another peer or the service until this peer sends again
     endFetch();
     catchUp(now);
 }
 
-void ConfigSpread::Impl::confirm(TimePoint at)
+void ConfigDistributor::Impl::confirm(TimePoint at)
 {
     confirmedAt = std::max(confirmedAt, at);
     wasConfirmed = true;
 }
 
-void ConfigSpread::Impl::checkStale(Now now)
+void ConfigDistributor::Impl::checkStale(Now now)
 {
     const bool nowStale = now.mono - confirmedAt > init.staleAfter;
     stats.stalePeriods += nowStale && !isStale ? 1 : 0;
@@ -308,7 +308,7 @@
     startTimer(staleTimer, init.timing.configPoll / 2, now, &Impl::checkStale);
 }
 
-void ConfigSpread::Impl::applyDeltas(const wire::ConfigPush &push, Now now)
+void ConfigDistributor::Impl::applyDeltas(const wire::ConfigPush &push, Now now)
 {
     for (const auto &bytes : push.deltas()) {
         config::Delta delta;
@@ -332,7 +332,7 @@
     ++stats.pushesAccepted;
 }
 
-void ConfigSpread::Impl::applyChunk(const wire::ConfigPush &push, Now now)
+void ConfigDistributor::Impl::applyChunk(const wire::ConfigPush &push, Now now)
 {
     config::Snapshot chunk;
     // An unrequested or duplicate chunk would corrupt the snapshot being assembled.
@@ -360,7 +360,7 @@
     }
 }
 
-bool ConfigSpread::onReply(const KvReply &reply, Now now)
+bool ConfigDistributor::onReply(const KvReply &reply, Now now)
 {
     const bool isHandled = (impl_->watcherLease && impl_->watcherLease->onReply(reply, now))
                            || impl_->reader.onReply(reply, now)
@@ -371,8 +371,8 @@
     return isHandled;
 }
 
-void ConfigSpread::onPeerRevision(const std::string &peer, std::uint64_t revision, std::uint64_t digest, Now now,
-                                  std::optional<Duration> age)
+void ConfigDistributor::onPeerRevision(const std::string &peer, std::uint64_t revision, std::uint64_t digest, Now now,
+                                       std::optional<Duration> age)
 {
     auto &peerState = impl_->peers[peer];
     peerState.revision = std::max(peerState.revision, revision);
@@ -393,7 +393,7 @@
     }
 }
 
-void ConfigSpread::onPeerLost(const std::string &peer)
+void ConfigDistributor::onPeerLost(const std::string &peer)
 {
     impl_->peers.erase(peer);
     if (impl_->fetchPeer == peer) {
@@ -401,7 +401,7 @@
     }
 }
 
-void ConfigSpread::onPush(const wire::ConfigPush &push, Now now)
+void ConfigDistributor::onPush(const wire::ConfigPush &push, Now now)
 {
     const std::string from = push.from().name();
     if (!push.snapshot().empty()) {
@@ -423,7 +423,7 @@
     }
 }
 
-void ConfigSpread::onFetch(const std::string &peer, const wire::ConfigFetch &fetch, Now now)
+void ConfigDistributor::onFetch(const std::string &peer, const wire::ConfigFetch &fetch, Now now)
 {
     impl_->peers[peer].revision = fetch.have_revision();
     wire::Envelope envelope;
@@ -437,27 +437,27 @@
     impl_->callbacks.sendToPeer(peer, std::move(envelope));
 }
 
-bool ConfigSpread::stale() const
+bool ConfigDistributor::isStale() const
 {
-    return impl_->isStale || empty();
+    return impl_->isStale || isEmpty();
 }
 
-bool ConfigSpread::empty() const
+bool ConfigDistributor::isEmpty() const
 {
     return impl_->init.store->revision() == 0 && !impl_->wasConfirmed;
 }
 
-Duration ConfigSpread::age(TimePoint now) const
+Duration ConfigDistributor::confirmationAge(TimePoint now) const
 {
     return now - impl_->confirmedAt;
 }
 
-bool ConfigSpread::watching() const
+bool ConfigDistributor::isWatching() const
 {
     return impl_->watcherLease && impl_->watcherLease->state() == LeaseState::Held;
 }
 
-const ConfigSpread::Stats &ConfigSpread::stats() const
+const ConfigDistributor::Stats &ConfigDistributor::stats() const
 {
     return impl_->stats;
 }
--- a/src/state/idempotency_key.cpp
+++ b/src/state/idempotency_key.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-std::optional<WallTime> keyTime(std::string_view key)
+std::optional<WallTime> parseKeyTime(std::string_view key)
 {
     if (key.size() != keyLength || key[versionPosition] != '7') {
         return std::nullopt;
--- a/src/state/key_follower.cpp
+++ b/src/state/key_follower.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-struct KeyFollower::Impl
+struct KeyWatcher::Impl
 {
     Init init;
     std::function<void(KvRequest)> submit;
@@ -44,18 +44,18 @@
     void onWatchReply(const KvReply &reply, Now now);
 };
 
-KeyFollower::KeyFollower(Init init, std::function<void(KvRequest)> submit,
-                         std::function<void(const std::vector<KvEntry> &, bool, Now)> changed)
+KeyWatcher::KeyWatcher(Init init, std::function<void(KvRequest)> submit,
+                       std::function<void(const std::vector<KvEntry> &, bool, Now)> changed)
     : impl_(std::make_unique<Impl>(std::move(init), std::move(submit), std::move(changed)))
 {
 }
 
-KeyFollower::~KeyFollower()
+KeyWatcher::~KeyWatcher()
 {
     impl_->init.timers->cancel(impl_->retryTimer);
 }
 
-void KeyFollower::Impl::sendNextRequest()
+void KeyWatcher::Impl::sendNextRequest()
 {
     if (pendingRead || activeWatch) {
         return;
@@ -75,7 +75,7 @@
     submit(std::move(request));
 }
 
-void KeyFollower::Impl::scheduleRetry(Now now)
+void KeyWatcher::Impl::scheduleRetry(Now now)
 {
     init.timers->cancel(retryTimer);
     retryTimer = init.timers->subscribe(now.mono + backoff.next(random), [this](TimePoint) {
@@ -84,7 +84,7 @@
     });
 }
 
-void KeyFollower::Impl::onReadReply(const KvReply &reply, Now now)
+void KeyWatcher::Impl::onReadReply(const KvReply &reply, Now now)
 {
     pendingRead = {};
     // A read older than the last watch event comes from a stale replica and would revert changes.
@@ -100,7 +100,7 @@
     changed(reply.entries, true, now);
 }
 
-void KeyFollower::Impl::onWatchReply(const KvReply &reply, Now now)
+void KeyWatcher::Impl::onWatchReply(const KvReply &reply, Now now)
 {
     if (reply.status == KvStatus::Ok) {
         isEstablished = true;
@@ -112,7 +112,7 @@
                 newEntries.push_back(entry);
             }
         }
-        processedRevision = std::max(processedRevision, reply.event ? reply.storeRevision : processedRevision);
+        processedRevision = std::max(processedRevision, reply.isEvent ? reply.storeRevision : processedRevision);
         for (const auto &entry : newEntries) {
             processedRevision = std::max(processedRevision, entry.modRevision);
         }
@@ -127,12 +127,12 @@
     scheduleRetry(now);
 }
 
-void KeyFollower::start(Now)
+void KeyWatcher::start(Now)
 {
     impl_->sendNextRequest();
 }
 
-void KeyFollower::stop()
+void KeyWatcher::stop()
 {
     impl_->init.timers->cancel(impl_->retryTimer);
     impl_->pendingRead = {};
@@ -147,7 +147,7 @@
     impl_->submit(std::move(request));
 }
 
-bool KeyFollower::onReply(const KvReply &reply, Now now)
+bool KeyWatcher::onReply(const KvReply &reply, Now now)
 {
     if (impl_->pendingRead && reply.id == impl_->pendingRead) {
         impl_->onReadReply(reply, now);
@@ -160,12 +160,12 @@
     return false;
 }
 
-std::optional<TimePoint> KeyFollower::lastUpdateAt() const
+std::optional<TimePoint> KeyWatcher::lastUpdateAt() const
 {
     return impl_->lastUpdateAt;
 }
 
-bool KeyFollower::watching() const
+bool KeyWatcher::isWatching() const
 {
     return impl_->isEstablished;
 }
--- a/src/state/lease_keeper.cpp
+++ b/src/state/lease_keeper.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-struct LeaseKeeper::Impl
+struct LeaseHolder::Impl
 {
     enum class Step : std::uint8_t {
         Idle,
@@ -68,17 +68,17 @@
     const KvEntry *findEntry(const KvReply &reply) const;
 };
 
-LeaseKeeper::LeaseKeeper(Init init, std::function<void(KvRequest)> submit)
+LeaseHolder::LeaseHolder(Init init, std::function<void(KvRequest)> submit)
     : impl_(std::make_unique<Impl>(std::move(init), std::move(submit)))
 {
 }
 
-LeaseKeeper::~LeaseKeeper()
+LeaseHolder::~LeaseHolder()
 {
     impl_->init.timers->cancel(impl_->timer);
 }
 
-void LeaseKeeper::Impl::send(Step nextStep, KvRequest request, Now now)
+void LeaseHolder::Impl::send(Step nextStep, KvRequest request, Now now)
 {
     step = nextStep;
     request.id = ids.next();
@@ -87,7 +87,7 @@
     submit(std::move(request));
 }
 
-void LeaseKeeper::Impl::scheduleWake(Duration wait, Now now)
+void LeaseHolder::Impl::scheduleWake(Duration wait, Now now)
 {
     init.timers->cancel(timer);
     timer = init.timers->subscribe(now.mono + wait, [this, now](TimePoint at) {
@@ -96,7 +96,7 @@
     });
 }
 
-void LeaseKeeper::Impl::onTimer(Now now)
+void LeaseHolder::Impl::onTimer(Now now)
 {
     if (pending || !isStarted) {
         return;
@@ -110,7 +110,7 @@
     }
 }
 
-void LeaseKeeper::Impl::readKey(Step nextStep, Now now)
+void LeaseHolder::Impl::readKey(Step nextStep, Now now)
 {
     KvRequest request;
     request.op = KvOp::Range;
@@ -118,7 +118,7 @@
     send(nextStep, std::move(request), now);
 }
 
-void LeaseKeeper::Impl::requestLease(Now now)
+void LeaseHolder::Impl::requestLease(Now now)
 {
     KvRequest request;
     request.op = KvOp::LeaseGrant;
@@ -126,7 +126,7 @@
     send(Step::Granting, std::move(request), now);
 }
 
-void LeaseKeeper::Impl::writeKey(Now now)
+void LeaseHolder::Impl::writeKey(Now now)
 {
     config::SchedulerLease value;
     value.set_holder(init.holder);
@@ -139,7 +139,7 @@
     send(Step::Writing, std::move(request), now);
 }
 
-void LeaseKeeper::Impl::sendKeepAlive(Now now)
+void LeaseHolder::Impl::sendKeepAlive(Now now)
 {
     KvRequest request;
     request.op = KvOp::LeaseKeepAlive;
@@ -147,7 +147,7 @@
     send(Step::KeepingAlive, std::move(request), now);
 }
 
-void LeaseKeeper::Impl::dropLease(LeaseState newState, Now now)
+void LeaseHolder::Impl::dropLease(LeaseState newState, Now now)
 {
     state = newState;
     fence = 0;
@@ -156,7 +156,7 @@
     scheduleWake(backoff.next(random), now);
 }
 
-void LeaseKeeper::Impl::onAcquired(std::uint64_t newFence, Now now)
+void LeaseHolder::Impl::onAcquired(std::uint64_t newFence, Now now)
 {
     state = LeaseState::Held;
     fence = newFence;
@@ -165,17 +165,17 @@
     scheduleWake(random.jitter(init.timing.lease / keepAlivesPerLease), now);
 }
 
-const KvEntry *LeaseKeeper::Impl::findEntry(const KvReply &reply) const
+const KvEntry *LeaseHolder::Impl::findEntry(const KvReply &reply) const
 {
     for (const auto &entry : reply.entries) {
-        if (entry.key == init.key && entry.modRevision != 0 && !entry.deleted) {
+        if (entry.key == init.key && entry.modRevision != 0 && !entry.isDeleted) {
             return &entry;
         }
     }
     return nullptr;
 }
 
-void LeaseKeeper::Impl::onReadReply(const KvReply &reply, Now now)
+void LeaseHolder::Impl::onReadReply(const KvReply &reply, Now now)
 {
     if (reply.status != KvStatus::Ok) {
         step = Step::Idle;
@@ -192,7 +192,7 @@
     requestLease(now);
 }
 
-void LeaseKeeper::Impl::onGrantReply(const KvReply &reply, Now now)
+void LeaseHolder::Impl::onGrantReply(const KvReply &reply, Now now)
 {
     // A lease whose grant reply was lost expires by itself; no key is attached to it.
     if (reply.status != KvStatus::Ok || reply.lease == 0) {
@@ -205,7 +205,7 @@
     writeKey(now);
 }
 
-void LeaseKeeper::Impl::onWriteReply(const KvReply &reply, Now now)
+void LeaseHolder::Impl::onWriteReply(const KvReply &reply, Now now)
 {
     if (reply.status == KvStatus::Ok) {
         onAcquired(static_cast<std::uint64_t>(reply.storeRevision), now);
@@ -218,7 +218,7 @@
     }
 }
 
-void LeaseKeeper::Impl::onReadBackReply(const KvReply &reply, Now now)
+void LeaseHolder::Impl::onReadBackReply(const KvReply &reply, Now now)
 {
     if (reply.status != KvStatus::Ok) {
         const bool hasExpired = now.mono - leaseCountedFrom >= ttl;
@@ -238,7 +238,7 @@
     }
 }
 
-void LeaseKeeper::Impl::onKeepAliveReply(const KvReply &reply, Now now)
+void LeaseHolder::Impl::onKeepAliveReply(const KvReply &reply, Now now)
 {
     step = Step::Idle;
     if (reply.status == KvStatus::Ok && reply.ttl >= Duration::zero()) {
@@ -253,13 +253,13 @@
     }
 }
 
-void LeaseKeeper::start(Now now)
+void LeaseHolder::start(Now now)
 {
     impl_->isStarted = true;
     impl_->onTimer(now);
 }
 
-void LeaseKeeper::stop(Now now)
+void LeaseHolder::stop(Now now)
 {
     impl_->isStarted = false;
     impl_->init.timers->cancel(impl_->timer);
@@ -274,7 +274,7 @@
     impl_->send(Impl::Step::Idle, std::move(request), now);
 }
 
-bool LeaseKeeper::onReply(const KvReply &reply, Now now)
+bool LeaseHolder::onReply(const KvReply &reply, Now now)
 {
     if (!impl_->pending || reply.id != impl_->pending) {
         return false;
@@ -305,7 +305,7 @@
     return true;
 }
 
-bool LeaseKeeper::mayAct(TimePoint now) const
+bool LeaseHolder::mayAct(TimePoint now) const
 {
     // Counted from before the send, the lease expires here no later than at the service. A holder that was paused is
     // past this time when it resumes, regardless of earlier checks.
@@ -316,12 +316,12 @@
            && now < impl_->leaseCountedFrom + impl_->ttl - impl_->init.timing.leaseMargin;
 }
 
-std::uint64_t LeaseKeeper::fence() const
+std::uint64_t LeaseHolder::fence() const
 {
     return impl_->fence;
 }
 
-LeaseState LeaseKeeper::state() const
+LeaseState LeaseHolder::state() const
 {
     return impl_->state;
 }
--- a/src/state/seen_keys.cpp
+++ b/src/state/seen_keys.cpp
@@ -57,9 +57,9 @@
     return std::chrono::duration_cast<Milliseconds>(span).count();
 }
 
-std::size_t answerSize(const KeptAnswer &answer)
+std::size_t answerSize(const CachedAnswer &answer)
 {
-    std::size_t bytes = sizeof(KeptAnswer) + answer.body.size();
+    std::size_t bytes = sizeof(CachedAnswer) + answer.body.size();
     for (const auto &[name, value] : answer.headers) {
         bytes += name.size() + value.size();
     }
@@ -71,7 +71,7 @@
     KeyDecision decision;
     decision.kind = KeyDecisionKind::Refuse;
     decision.reason = reason;
-    decision.provedNotRun = provedNotRun;
+    decision.isProvenNotRun = provedNotRun;
     return decision;
 }
 
@@ -83,7 +83,7 @@
     {
         std::uint64_t fingerprint = 0;
         ExecutionHandle execution; // none after it has ended
-        std::shared_ptr<const KeptAnswer> answer; // empty if the outcome is unknown or the answer was dropped
+        std::shared_ptr<const CachedAnswer> answer; // empty if the outcome is unknown or the answer was dropped
         TimePoint endedAt;
     };
 
@@ -99,7 +99,7 @@
     KeyDecision decideKnownKey(const KeyEntry &keyEntry, std::uint64_t fingerprint) const;
     void removeBefore(WallTime threshold);
     void dropAnswer(KeyEntry &keyEntry);
-    void cacheAnswer(const KeyBits &bits, KeyEntry &keyEntry, KeptAnswer answer);
+    void cacheAnswer(const KeyBits &bits, KeyEntry &keyEntry, CachedAnswer answer);
 };
 
 SeenKeys::SeenKeys(Limits limits)
@@ -138,7 +138,7 @@
     }
 }
 
-void SeenKeys::Impl::cacheAnswer(const KeyBits &bits, KeyEntry &keyEntry, KeptAnswer answer)
+void SeenKeys::Impl::cacheAnswer(const KeyBits &bits, KeyEntry &keyEntry, CachedAnswer answer)
 {
     const std::size_t bytes = answerSize(answer);
     if (bytes > limits.answerBytes) {
@@ -151,7 +151,7 @@
             dropAnswer(oldest->second);
         }
     }
-    keyEntry.answer = std::make_shared<const KeptAnswer>(std::move(answer));
+    keyEntry.answer = std::make_shared<const CachedAnswer>(std::move(answer));
     answerBytes += bytes;
     answeredKeys.push_back(bits);
 }
@@ -178,7 +178,7 @@
     if (key.empty()) {
         return makeRefusal(RefusalReason::KeyMissing, true);
     }
-    const auto timestamp = keyTime(key);
+    const auto timestamp = parseKeyTime(key);
     if (!timestamp) {
         return makeRefusal(RefusalReason::KeyInvalid, true);
     }
@@ -222,7 +222,7 @@
     }
 }
 
-void SeenKeys::finish(std::string_view key, KeptAnswer answer, Now now)
+void SeenKeys::finish(std::string_view key, CachedAnswer answer, Now now)
 {
     const KeyBits bits = parseKeyBits(key);
     const auto found = impl_->keys.find(bits);
@@ -289,7 +289,7 @@
     impl_->removedBefore =
         std::max(impl_->removedBefore, WallTime{static_cast<std::int64_t>(part.forgotten_before_ms())});
     for (const auto &from : part.keys()) {
-        if (!keyTime(from.key())) {
+        if (!parseKeyTime(from.key())) {
             continue;
         }
         const KeyBits bits = parseKeyBits(from.key());
@@ -301,7 +301,7 @@
         keyEntry.fingerprint = from.fingerprint();
         keyEntry.endedAt = now.mono;
         if (from.answer_kept()) {
-            KeptAnswer answer;
+            CachedAnswer answer;
             answer.outcome = fromWire(from.outcome(), CallOutcome::Unknown);
             answer.failure = fromWire(from.failure(), FailureReason::None);
             answer.status = from.status();
--- a/src/state/slot_owner.cpp
+++ b/src/state/slot_owner.cpp
@@ -40,7 +40,7 @@
     , random(init.seed)
     , backoff(initialBackoff, init.timing.lease)
     , lease(leaseInit(), submit)
-    , tableWatch(KeyFollower::Init{tableKey, {}, init.timers, init.timing.lease, init.seed + 1}, submit,
+    , tableWatch(KeyWatcher::Init{tableKey, {}, init.timers, init.timing.lease, init.seed + 1}, submit,
                  [this](const std::vector<KvEntry> &entries, bool, Now now) {
                      updateTable(entries);
                      schedulePlan(replanDelay, now);
@@ -54,9 +54,9 @@
     init.timers->cancel(resendTimer);
 }
 
-LeaseKeeper::Init SlotOwner::Impl::leaseInit() const
+LeaseHolder::Init SlotOwner::Impl::leaseInit() const
 {
-    LeaseKeeper::Init result;
+    LeaseHolder::Init result;
     result.key = leasePrefix + init.self + "/" + formatIncarnation(init.incarnation);
     result.holder = init.self;
     result.incarnation = init.incarnation;
@@ -128,7 +128,7 @@
         if (entry.key != tableKey || entry.modRevision <= tableModRevision) {
             continue;
         }
-        if (!entry.deleted && !newTable.ParseFromString(entry.value)) {
+        if (!entry.isDeleted && !newTable.ParseFromString(entry.value)) {
             continue;
         }
         table = std::move(newTable);
@@ -275,12 +275,12 @@
     if (impl_->transfer && impl_->transfer->contains(slot) && impl_->init.safeguards.refuseWhileGiving) {
         return ownership;
     }
-    ownership.owned = true;
+    ownership.isOwned = true;
     const Duration margin = std::max(view->margin, 2 * view->skew);
     if (!impl_->init.safeguards.takenAtRefusal) {
         return ownership;
     }
-    ownership.takenAt.ms =
+    ownership.minKeyTime.ms =
         static_cast<std::int64_t>(range->taken_wall_ms()) + std::chrono::duration_cast<Milliseconds>(margin).count();
     return ownership;
 }
@@ -293,7 +293,7 @@
     impl_->schedulePlan(Duration::zero(), now);
 }
 
-bool SlotOwner::drained() const
+bool SlotOwner::isDrained() const
 {
     return impl_->isDraining && impl_->step == Impl::Step::Idle && slots().empty();
 }
--- a/src/state/slot_owner_impl.h
+++ b/src/state/slot_owner_impl.h
@@ -28,8 +28,8 @@
     KvRequestIds ids;
     Random random;
     Backoff backoff;
-    LeaseKeeper lease;
-    KeyFollower tableWatch; // watches the table
+    LeaseHolder lease;
+    KeyWatcher tableWatch; // watches the table
 
     config::SlotTable table;
     std::int64_t tableModRevision = 0; // modification revision of `table`; never decreases
@@ -50,7 +50,7 @@
 
     Impl(Init initValue, std::function<void(KvRequest)> submitRequest);
     ~Impl();
-    LeaseKeeper::Init leaseInit() const;
+    LeaseHolder::Init leaseInit() const;
     std::uint32_t slotCount() const;
     bool isOwnedBySelf(const SlotState &slot) const;
     bool isOwnedUnderLease(const config::SlotRange &range) const;
--- a/src/state/slot_plan.cpp
+++ b/src/state/slot_plan.cpp
@@ -167,8 +167,8 @@
         }
     }
     for (const auto slot : selected) {
-        if (init.beforeGiving) {
-            init.beforeGiving(slot);
+        if (init.beforeTransfer) {
+            init.beforeTransfer(slot);
         }
         transfer->add(slot, slots[slot].fence, slotCount(), *init.seen, now);
     }
--- a/tests/faults/callers.cpp
+++ b/tests/faults/callers.cpp
@@ -125,7 +125,7 @@
     request.route = call.route;
     request.service = call.route.empty() ? "admission" : "";
     request.key = call.key;
-    request.stream = call.isStream;
+    request.isStreaming = call.isStream;
     request.method = "POST";
     request.path = call.route.empty() ? "/admit" : "/v1/completions";
     request.headers.emplace_back("X-Try", tryId);
--- a/tests/faults/link.cpp
+++ b/tests/faults/link.cpp
@@ -258,7 +258,7 @@
         to.pendingActions.push_back([this, &to, incarnation, reply] { deliverKvReply(to, incarnation, reply); });
         return;
     }
-    if (reply.event && isPartitioned_ && to.dataCentre != 0) {
+    if (reply.isEvent && isPartitioned_ && to.dataCentre != 0) {
         reply = kvReply(reply.id, KvStatus::Unavailable); // the watch connection breaks
     }
     const Now now = nowOf(to);
@@ -339,7 +339,7 @@
     openExecution.listeners.emplace_back(peerNames_.at(start.to.value - 1), start.request.id());
     const auto handle = start.execution.value;
     const std::string name = from.name;
-    if (time_ >= start.sendBefore) {
+    if (time_ >= start.sendDeadline) {
         endExecution(name, handle, CallOutcome::Failed, FailureReason::EndpointUnreachable);
         return;
     }
@@ -470,7 +470,7 @@
         return;
     }
     Digest digest;
-    KeptAnswer answer{outcome, failure, 200, {}, ""};
+    CachedAnswer answer{outcome, failure, 200, {}, ""};
     for (const auto &data : ended.mapped().frames) {
         digest.add(data);
         answer.body += data;
@@ -499,7 +499,7 @@
         runs_[run - 1].isRunning = false;
     }
     post(from.name, hopDelay, [this, name = from.name, cancelled] {
-        endExecution(name, cancelled.execution.value, CallOutcome::Cancelled, cancelled.why);
+        endExecution(name, cancelled.execution.value, CallOutcome::Cancelled, cancelled.reason);
     });
 }
 
--- a/tests/faults/world.cpp
+++ b/tests/faults/world.cpp
@@ -151,7 +151,7 @@
 
 void Simulation::createConfigDistributor(Node &node, bool mayWatch)
 {
-    ConfigSpread::Init init;
+    ConfigDistributor::Init init;
     init.self = node.name;
     init.incarnation = node.incarnation;
     init.dataCentre = std::to_string(node.dataCentre);
@@ -160,7 +160,7 @@
     init.store = &node.process->store;
     init.timers = &node.process->timers;
     init.seed = random_.next();
-    ConfigSpread::Callbacks callbacks;
+    ConfigDistributor::Callbacks callbacks;
     callbacks.submit = [this, &node](const KvRequest &request) { submitKv(node, request); };
     callbacks.sendToPeer = [this, &node](const std::string &to, const wire::Envelope &message) {
         sendMessage(node, to, message);
@@ -173,7 +173,7 @@
             node.process->sidecar->onConfigChanged(now);
         }
     };
-    node.process->configDistributor = std::make_unique<ConfigSpread>(init, callbacks);
+    node.process->configDistributor = std::make_unique<ConfigDistributor>(init, callbacks);
 }
 
 void Simulation::startEntry(Node &node)
@@ -191,9 +191,9 @@
     init.safeguards = safeguards_.entry;
     process.entry = std::make_unique<EntryDecisions>(init);
     const auto toService = [this, &node](const KvRequest &request) { submitKv(node, request); };
-    LeaseKeeper::Init lease{"/anvilscale/scheduler", node.name,       node.incarnation, node.name,
+    LeaseHolder::Init lease{"/anvilscale/scheduler", node.name,       node.incarnation, node.name,
                             shortTiming(),           &process.timers, random_.next(),   safeguards_.state};
-    process.lease = std::make_unique<LeaseKeeper>(lease, toService);
+    process.lease = std::make_unique<LeaseHolder>(lease, toService);
     LoadScheduler::Init scheduling{node.name, node.incarnation, &process.store, &process.timers, random_.next()};
     process.scheduler = std::make_unique<LoadScheduler>(
         scheduling, [&process](TimePoint now) { return process.lease->mayAct(now); },
@@ -207,12 +207,12 @@
         process.entry->onMember(member, nowOf(node));
         process.scheduler->onMember(member, nowOf(node));
     });
-    KeyFollower::Init follow{"/anvilscale/slots/", "/anvilscale/slots0", &process.timers, Seconds(2), random_.next()};
-    process.slotWatcher = std::make_unique<KeyFollower>(
-        follow, toService, [&process](const std::vector<KvEntry> &entries, bool, Now now) {
+    KeyWatcher::Init follow{"/anvilscale/slots/", "/anvilscale/slots0", &process.timers, Seconds(2), random_.next()};
+    process.slotWatcher =
+        std::make_unique<KeyWatcher>(follow, toService, [&process](const std::vector<KvEntry> &entries, bool, Now now) {
             for (const auto &entry : entries) {
                 config::SlotTable table;
-                if (!entry.deleted && table.ParseFromString(entry.value)) {
+                if (!entry.isDeleted && table.ParseFromString(entry.value)) {
                     process.entry->onSlotTable(table, now);
                 }
             }
@@ -276,7 +276,7 @@
     if (process.scheduler) {
         const bool mayAct = process.lease->mayAct(time_);
         if (mayAct && !process.isScheduler) {
-            process.scheduler->onTakeOver(nowOf(node));
+            process.scheduler->onLeaseAcquired(nowOf(node));
         }
         process.isScheduler = mayAct;
         for (auto &send : process.scheduler->takeActions()) {
@@ -366,7 +366,7 @@
             if (peer.process->entry) {
                 peer.process->membership->onUnreachable(node.name, nowOf(peer));
                 peer.process->configDistributor->onPeerLost(node.name);
-                peer.process->entry->onConversationLost(node.name, nowOf(peer));
+                peer.process->entry->onConnectionLost(node.name, nowOf(peer));
             } else if (peer.process->sidecar) {
                 peer.process->sidecar->onPeerLost(this->peerHandle(identity), nowOf(peer));
             }
--- a/tests/faults/world.h
+++ b/tests/faults/world.h
@@ -40,13 +40,13 @@
 {
     TimerService timers;
     ConfigStore store;
-    std::unique_ptr<ConfigSpread> configDistributor;
+    std::unique_ptr<ConfigDistributor> configDistributor;
     std::unique_ptr<ConfigWriter> writer;
     std::unique_ptr<Membership> membership;
-    std::unique_ptr<LeaseKeeper> lease;
+    std::unique_ptr<LeaseHolder> lease;
     std::unique_ptr<LoadScheduler> scheduler;
     std::unique_ptr<EntryDecisions> entry;
-    std::unique_ptr<KeyFollower> slotWatcher;
+    std::unique_ptr<KeyWatcher> slotWatcher;
     std::unique_ptr<SidecarDecisions> sidecar;
     std::map<std::uint64_t, OpenExecution> openExecutions;
     std::string changeId; ///< last change of an operator
--- a/tests/process/late_listener_test.cpp
+++ b/tests/process/late_listener_test.cpp
@@ -25,14 +25,14 @@
                 update([&] { bytes_[peer.value] += message.call_frame().data(); });
             }
         };
-        handlers.started = [](ExecutionHandle) {};
-        handlers.ended = [this](ExecutionHandle, const KeptAnswer &, std::uint32_t) {
+        handlers.onStarted = [](ExecutionHandle) {};
+        handlers.onEnded = [this](ExecutionHandle, const CachedAnswer &, std::uint32_t) {
             update([&] { hasEnded_ = true; });
         };
-        handlers.orderDone = [](OrderHandle, OrderOutcome) {};
-        handlers.list = [](OrderHandle, const EngineList &) {};
-        handlers.report = [](const EngineReport &) {};
-        handlers.lost = [] {};
+        handlers.onOrderDone = [](OrderHandle, OrderOutcome) {};
+        handlers.onList = [](OrderHandle, const EngineList &) {};
+        handlers.onReport = [](const EngineReport &) {};
+        handlers.onUnreachable = [] {};
         return handlers;
     }
     void waitForEnd()
@@ -134,7 +134,7 @@
     Endpoint endpoint(init, reports.handlers());
 
     auto start = makeStart(1);
-    start.sendBefore = EventLoop::now();
+    start.sendDeadline = EventLoop::now();
     endpoint.start(start);
     reports.waitForEnd();
     EXPECT_EQ(reports.endOf(1).outcome(), static_cast<std::uint32_t>(CallOutcome::Failed));
--- a/tests/standins/faults.cpp
+++ b/tests/standins/faults.cpp
@@ -79,7 +79,8 @@
         --loseReplies_;
         return ReplyAction::LoseReply;
     }
-    return loseProbability_ > 0.0 && random_.unit() < loseProbability_ ? ReplyAction::LoseReply : ReplyAction::Answer;
+    return loseProbability_ > 0.0 && random_.uniform() < loseProbability_ ? ReplyAction::LoseReply
+                                                                          : ReplyAction::Answer;
 }
 
 } // namespace standins
--- a/tests/support/followed_store.h
+++ b/tests/support/followed_store.h
@@ -21,11 +21,11 @@
 }
 
 /// An entry's store watch, created from settings, with a record of what it reported and when.
-class FollowedStore
+class WatchedStore
 {
 public:
     /// `prepare` configures the store before the entry starts.
-    explicit FollowedStore(
+    explicit WatchedStore(
         std::uint32_t leaveMs = 2000, std::uint64_t incarnation = 1,
         const std::function<void(VirtualLoop &)> &prepare = [](VirtualLoop &) {}, std::set<std::string> known = {})
         : maxDelay_(Milliseconds(leaveMs))
@@ -41,50 +41,50 @@
     VirtualLoop loop;
 
     /// Time at which the endpoint was first reported as removed or leaving.
-    std::optional<TimePoint> toldGone(const std::string &id) const
+    std::optional<TimePoint> removalTime(const std::string &id) const
     {
         const auto found = removedAt_.find(id);
         return found == removedAt_.end() ? std::nullopt : std::optional(found->second);
     }
     /// Delay from the store's acknowledgement to the report of the removal; nothing if it was not reported.
-    std::optional<Duration> lateness(const std::string &id, TimePoint acknowledged) const
+    std::optional<Duration> removalDelay(const std::string &id, TimePoint acknowledged) const
     {
-        const auto removedAt = toldGone(id);
+        const auto removedAt = removalTime(id);
         return removedAt ? std::optional(*removedAt - acknowledged) : std::nullopt;
     }
     /// The removal was reported within bound().
-    bool knownInTime(const std::string &id, TimePoint acknowledged) const
+    bool isRemovedInTime(const std::string &id, TimePoint acknowledged) const
     {
-        const auto delay = lateness(id, acknowledged);
+        const auto delay = removalDelay(id, acknowledged);
         return delay && *delay <= maxDelay_;
     }
     /// Upper bound on the delay of a removal, from the settings.
-    Duration bound() const
+    Duration maxDelay() const
     {
         return maxDelay_;
     }
     /// Endpoints that were reported and not removed since.
-    const std::set<std::string> &present() const
+    const std::set<std::string> &presentIds() const
     {
         return presentIds_;
     }
     /// A report was older than the previous report of the same endpoint.
-    bool wentBack() const
+    bool hasRegressed() const
     {
         return hasRegressed_;
     }
 
 private:
-    static StoreFollowerInit makeInit(std::uint32_t leaveMs, std::uint64_t incarnation, std::set<std::string> known)
+    static StoreWatcherInit makeInit(std::uint32_t leaveMs, std::uint64_t incarnation, std::set<std::string> known)
     {
-        auto init = storeFollowerInit(entrySettings(leaveMs), incarnation);
-        init.known = std::move(known);
+        auto init = storeWatcherInit(entrySettings(leaveMs), incarnation);
+        init.knownEndpoints = std::move(known);
         return init;
     }
 
-    StoreFollowerHandlers handlers()
+    StoreWatcherHandlers handlers()
     {
-        StoreFollowerHandlers result;
+        StoreWatcherHandlers result;
         result.record = [this](const StoreRecord &record) {
             if (const auto *endpoint = std::get_if<EndpointRecord>(&record)) {
                 hasRegressed_ = hasRegressed_ || endpoint->revision < lastRevisions_[endpoint->id];
@@ -111,12 +111,12 @@
     std::map<std::string, std::uint64_t> lastRevisions_; // last reported revisions, by endpoint
     std::set<std::string> presentIds_;
     bool hasRegressed_ = false;
-    StoreFollower<VirtualDialect, VirtualLoop, VirtualClient> watcher_;
+    StoreWatcher<VirtualDialect, VirtualLoop, VirtualClient> watcher_;
 };
 
 inline std::string inMs(Duration span)
 {
-    return std::to_string(wholeMs(span)) + " ms";
+    return std::to_string(toMilliseconds(span)) + " ms";
 }
 
 } // namespace anvilscale::test
--- a/tests/support/memory_kv.h
+++ b/tests/support/memory_kv.h
@@ -211,7 +211,7 @@
     {
         KvReply reply;
         reply.id = KvHandle{id};
-        reply.event = true;
+        reply.isEvent = true;
         reply.entries = std::move(entries);
         reply.storeRevision = revision;
         watches_.at(id).sink(std::move(reply));
--- a/tests/support/virtual_store.h
+++ b/tests/support/virtual_store.h
@@ -12,12 +12,12 @@
 namespace anvilscale::test {
 
 /// How the store handles calls.
-enum class StoreMood : std::uint8_t {
-    Well,
-    Silent, ///< accepts calls and never answers them, waiting ones included
+enum class StoreCondition : std::uint8_t {
+    Healthy,
+    Unresponsive, ///< accepts calls and never answers them, waiting ones included
     Refusing, ///< answers 503 at once, without effect
-    Forgetful, ///< answers reads, and each watch with 410 because its history is lost
-    Dark, ///< unreachable; waiting calls are never answered
+    HistoryLost, ///< answers reads, and each watch with 410 because its history is lost
+    Unreachable, ///< unreachable; waiting calls are never answered
     Count
 };
 
@@ -101,11 +101,11 @@
 {
 public:
     VirtualStore store;
-    StoreMood mood = StoreMood::Well;
+    StoreCondition condition = StoreCondition::Healthy;
     std::uint64_t calls = 0;
     std::uint64_t limitedCalls = 0; ///< calls that count toward the store's rate limit
     std::uint64_t stalledGeneration = 0; ///< connections of an earlier generation transfer no more data
-    std::optional<VirtualStore> oldStore; ///< answers reads that may be stale; empty if the store answers them
+    std::optional<VirtualStore> staleStore; ///< answers reads that may be stale; empty if the store answers them
     Duration answerTime = Milliseconds(4);
     std::size_t bodyPadding = 0; ///< additional bytes in each answer
     std::size_t bytesPerMs = 0; ///< bandwidth; 0 if answers arrive in one piece
@@ -132,9 +132,9 @@
     {
         timers_.subscribe(when, [what = std::move(what)](TimePoint) { what(); });
     }
-    void setMood(StoreMood next)
+    void setCondition(StoreCondition next)
     {
-        mood = next;
+        condition = next;
         notifyChange();
     }
     void change(const std::string &id, bool leaving, bool removed = false)
@@ -146,12 +146,12 @@
     void restore(const VirtualStore &copy)
     {
         store.restore(copy);
-        const auto previous = std::exchange(mood, StoreMood::Refusing);
+        const auto previous = std::exchange(condition, StoreCondition::Refusing);
         notifyChange();
-        setMood(previous);
+        setCondition(previous);
     }
     /// Open connections transfer no more data; new ones work.
-    void silenceConnections()
+    void stallConnections()
     {
         ++stalledGeneration;
         notifyChange();
@@ -194,7 +194,7 @@
         std::istringstream in(body);
         StorePage page;
         in >> page.revision >> page.lastKey;
-        page.more = page.lastKey != "-";
+        page.hasMore = page.lastKey != "-";
         VirtualStore::Item item;
         while (in >> item.id >> item.leaving >> item.removed >> item.revision) {
             if (item.removed) {
@@ -270,11 +270,11 @@
         if (timeout != Duration(0)) {
             scheduleEnd(loop_.now() + timeout, ExchangeEnd::Broken);
         }
-        const bool isReused = reusableUntil_ > loop_.now() && !request.freshConnection;
+        const bool isReused = reusableUntil_ > loop_.now() && !request.needsNewConnection;
         if (!isReused) {
             connectionGeneration_ = loop_.stalledGeneration;
         }
-        if (loop_.mood == StoreMood::Dark && !isReused) {
+        if (loop_.condition == StoreCondition::Unreachable && !isReused) {
             scheduleEnd(loop_.now() + init_.connectTimeout, ExchangeEnd::Unreachable);
             current_.isNeverAnswered = true;
         }
@@ -322,18 +322,18 @@
 
     void handleArrival()
     {
-        if (loop_.mood == StoreMood::Silent || connectionGeneration_ < loop_.stalledGeneration) {
+        if (loop_.condition == StoreCondition::Unresponsive || connectionGeneration_ < loop_.stalledGeneration) {
             current_.isNeverAnswered = true;
         }
         if (current_.isNeverAnswered) {
             return;
         }
-        if (loop_.mood == StoreMood::Refusing) {
+        if (loop_.condition == StoreCondition::Refusing) {
             answer(503);
             return;
         }
         const bool isAheadOfStore = current_.after > loop_.store.revision();
-        if (current_.isWatch && (isAheadOfStore || loop_.mood == StoreMood::Forgetful)) {
+        if (current_.isWatch && (isAheadOfStore || loop_.condition == StoreCondition::HistoryLost)) {
             answer(410);
             return;
         }
@@ -354,10 +354,10 @@
         if (current_.id == 0 || current_.isNeverAnswered) {
             return;
         }
-        if (loop_.mood == StoreMood::Silent || loop_.mood == StoreMood::Dark
+        if (loop_.condition == StoreCondition::Unresponsive || loop_.condition == StoreCondition::Unreachable
             || connectionGeneration_ < loop_.stalledGeneration) {
             current_.isNeverAnswered = true;
-        } else if (loop_.mood == StoreMood::Refusing) {
+        } else if (loop_.condition == StoreCondition::Refusing) {
             end(ExchangeEnd::Broken); // waiting calls are cut
         } else if (current_.isWatch && hasChanges()) {
             answer(200);
@@ -380,7 +380,7 @@
 
     const VirtualStore &answeringStore() const
     {
-        return current_.allowsStale && loop_.oldStore ? *loop_.oldStore : loop_.store;
+        return current_.allowsStale && loop_.staleStore ? *loop_.staleStore : loop_.store;
     }
 
     std::string body() const
@@ -407,7 +407,7 @@
             schedule(Milliseconds(partInterval), [this, text, next = from + part.size()] { sendBody(text, next); });
             return;
         }
-        reusableUntil_ = loop_.now() + init_.keepIdle;
+        reusableUntil_ = loop_.now() + init_.maxIdleTime;
         end(ExchangeEnd::Complete);
     }
 
--- a/tests/support/virtual_world.h
+++ b/tests/support/virtual_world.h
@@ -17,7 +17,7 @@
 };
 
 /// Clock, timers and key-value service shared by the components of one test.
-class VirtualWorld
+class VirtualCluster
 {
 public:
     using OnReply = std::function<void(const KvReply &, Now)>;
@@ -25,7 +25,7 @@
 
     TimerService timers;
     MemoryKv kv;
-    Rule rule; ///< called for each request; no faults if empty
+    Rule faultRule; ///< called for each request; no faults if empty
     std::uint64_t requests = 0;
     Duration delay = Milliseconds(1); ///< from a request to its reply
 
@@ -35,7 +35,7 @@
                    WallTime{wallStart + std::chrono::duration_cast<Milliseconds>(time_.time_since_epoch()).count()}};
     }
     /// Returns the submit function of one component. Its replies go to `onReply`.
-    std::function<void(KvRequest)> client(OnReply onReply)
+    std::function<void(KvRequest)> makeClient(OnReply onReply)
     {
         return [this, onReply = std::move(onReply)](const KvRequest &request) { handleRequest(request, onReply); };
     }
@@ -70,7 +70,7 @@
     void handleRequest(const KvRequest &request, const OnReply &onReply)
     {
         ++requests;
-        const KvFault fault = rule ? rule(request) : KvFault::None;
+        const KvFault fault = faultRule ? faultRule(request) : KvFault::None;
         const auto sendReply = [this, onReply](KvReply reply) {
             later(delay, [onReply, reply = std::move(reply)](Now at) { onReply(reply, at); });
         };
--- a/tests/unit/crash_reporter_test.cpp
+++ b/tests/unit/crash_reporter_test.cpp
@@ -159,7 +159,7 @@
     reporter_.report({"e-2", 0, {CallFingerprint{1}}});
     loop_.run(Seconds(2));
     EXPECT_EQ(written_, 2U);
-    loop_.run(crashReportLife / 2);
+    loop_.run(crashReportLifetime / 2);
     const auto before = requests().size();
     reporter_.report({"e-3", 0, {CallFingerprint{1}}});
     loop_.run(Seconds(1));
@@ -180,7 +180,7 @@
     ASSERT_EQ(requests().size(), 2U);
     EXPECT_EQ(requests()[0], "lease");
     EXPECT_TRUE(requests()[1].ends_with(" n-0 n-1")) << requests()[1];
-    loop_.run(crashReportLife);
+    loop_.run(crashReportLifetime);
     requests().clear();
     reporter_.rewriteReports();
     loop_.run(Seconds(1));
--- a/tests/unit/direct_calls_test.cpp
+++ b/tests/unit/direct_calls_test.cpp
@@ -17,20 +17,20 @@
 
 TEST(CallFingerprint, IsTheSameForEachAttemptAtOneRequest)
 {
-    CallFacts info;
+    CallInfo info;
     info.requestId = "r1";
     info.host = host;
     info.model = modelName;
     info.adapter = "a1";
-    const auto first = fingerprintOf("POST", "/s/x", "body", info);
+    const auto first = computeFingerprint("POST", "/s/x", "body", info);
     info.requestId = "r2";
-    info.patience = Seconds(3);
-    EXPECT_EQ(fingerprintOf("POST", "/s/x", "body", info), first);
-    EXPECT_NE(fingerprintOf("POST", "/s/x", "other body", info), first);
-    EXPECT_NE(fingerprintOf("POST", "/s/y", "body", info), first);
-    EXPECT_NE(fingerprintOf("POST", "/s/", "xbody", info), first);
+    info.callerTimeout = Seconds(3);
+    EXPECT_EQ(computeFingerprint("POST", "/s/x", "body", info), first);
+    EXPECT_NE(computeFingerprint("POST", "/s/x", "other body", info), first);
+    EXPECT_NE(computeFingerprint("POST", "/s/y", "body", info), first);
+    EXPECT_NE(computeFingerprint("POST", "/s/", "xbody", info), first);
     info.adapter = "a2";
-    EXPECT_NE(fingerprintOf("POST", "/s/x", "body", info), first);
+    EXPECT_NE(computeFingerprint("POST", "/s/x", "body", info), first);
     EXPECT_EQ(CallFingerprint{0xabc}.text(), "0000000000000abc");
 }
 
@@ -50,21 +50,21 @@
 TEST_F(Calls, RefusesCallsWithoutConfiguration)
 {
     DirectCalls fresh{init()};
-    CallFacts info;
+    CallInfo info;
     info.host = host;
     info.path = "/i/x";
-    fresh.arrive(CallHandle{1}, info, now_);
+    fresh.onCall(CallHandle{1}, info, now_);
     const auto actions = fresh.takeActions();
     ASSERT_EQ(actions.size(), 1U);
     EXPECT_EQ(std::get<RefuseCall>(actions[0]).status, 503U);
-    EXPECT_FALSE(fresh.ready(now_));
+    EXPECT_FALSE(fresh.isReady(now_));
 }
 
 TEST_F(Calls, WaitsForItsAdapterAndIsSentOnceItIsThere)
 {
     addEngine("e-1", "10.0.1.1:80", {});
     startCall("/s/x", "a1");
-    const auto demands = takeActions<SendWishes>();
+    const auto demands = takeActions<SendDemand>();
     ASSERT_EQ(demands.size(), 1U);
     ASSERT_EQ(demands[0].demand.wishes_size(), 1);
     EXPECT_EQ(demands[0].demand.wishes(0).adapter(), "a1");
@@ -79,10 +79,10 @@
 TEST_F(Calls, FirstCallOnAnAdapterIsReportedAtOnce)
 {
     addEngine("e-1", "10.0.1.1:80", {"a1"});
-    advance(directTick);
-    takeActions<SendWishes>();
+    advance(directTickInterval);
+    takeActions<SendDemand>();
     startCall("/s/x", "a1");
-    const auto demands = takeActions<SendWishes>();
+    const auto demands = takeActions<SendDemand>();
     ASSERT_EQ(demands.size(), 1U);
     ASSERT_EQ(demands[0].demand.wishes_size(), 1);
     EXPECT_EQ(demands[0].demand.wishes(0).running(), 1U);
@@ -137,7 +137,7 @@
     startCall("/s/x", "a1");
     const auto usual = takeSentCall();
     now_ += Milliseconds(1500);
-    calls_.answerBegan(usual.call, usual.attempt, now_);
+    calls_.onAnswerStarted(usual.call, usual.attempt, now_);
     endAttempt(usual, AttemptEnd::Answered);
     calls_.applyState("10.0.1.1:80", makeState({"a1"}), now_);
     calls_.applyState("10.0.1.2:80", makeState({"a1"}), now_);
@@ -165,7 +165,7 @@
     AttemptResult cut;
     cut.end = AttemptEnd::Broken;
     cut.callerHasBytes = true;
-    calls_.attemptEnded(second.call, second.attempt, cut, now_);
+    calls_.onAttemptEnded(second.call, second.attempt, cut, now_);
     EXPECT_TRUE(takeActions<SendCall>().empty());
 }
 
@@ -346,19 +346,19 @@
 TEST_F(Calls, ReadyOnceSidecarsHaveReported)
 {
     calls_.applyEndpoint(makeEndpoint("e-1", engineService, "10.0.1.1:80"), now_);
-    EXPECT_FALSE(calls_.ready(now_));
-    EXPECT_TRUE(calls_.ready(now_ + Seconds(2)));
+    EXPECT_FALSE(calls_.isReady(now_));
+    EXPECT_TRUE(calls_.isReady(now_ + Seconds(2)));
     calls_.applyState("10.0.1.1:80", makeState({}), now_);
-    EXPECT_TRUE(calls_.ready(now_));
+    EXPECT_TRUE(calls_.isReady(now_));
 }
 
 // Guards against calls to the older of two incarnations at one address while the store holds both records.
 TEST_F(Calls, TheYoungestRecordOfAnAddressCounts)
 {
     auto young = makeEndpoint("a-young", plainService, "10.0.0.1:80");
-    young.created = 20;
+    young.createRevision = 20;
     auto old = makeEndpoint("z-old", plainService, "10.0.0.1:80");
-    old.created = 10;
+    old.createRevision = 10;
     calls_.applyEndpoint(young, now_);
     calls_.applyEndpoint(old, now_);
     for (int i = 0; i < 5; ++i) {
@@ -404,7 +404,7 @@
     startCall("/n/x");
     const auto send = takeSentCall();
     now_ += Milliseconds(20);
-    calls_.answerBegan(send.call, send.attempt, now_);
+    calls_.onAnswerStarted(send.call, send.attempt, now_);
     now_ += Milliseconds(5);
     endAttempt(send, AttemptEnd::Answered);
     const auto ended = calls_.takeEnded();
--- a/tests/unit/direct_fixture.h
+++ b/tests/unit/direct_fixture.h
@@ -99,18 +99,18 @@
     }
     CallHandle startCall(const std::string &path, const std::string &adapter = "", Duration callerTimeout = Seconds(4))
     {
-        CallFacts info;
+        CallInfo info;
         info.requestId = "r" + std::to_string(++lastCall_);
         info.host = host;
         info.path = path;
-        info.patience = callerTimeout;
+        info.callerTimeout = callerTimeout;
         if (path.starts_with("/s/")) {
             info.model = modelName;
             info.adapter = adapter;
             info.promptTokens = 3000;
             info.parts = {{"shared", 2000}, {"own" + std::to_string(lastCall_), 1000}};
         }
-        calls_.arrive(CallHandle{lastCall_}, info, now_);
+        calls_.onCall(CallHandle{lastCall_}, info, now_);
         return CallHandle{lastCall_};
     }
     template<class Action>
@@ -135,7 +135,7 @@
         AttemptResult result;
         result.end = how;
         result.refusal = refusal;
-        calls_.attemptEnded(send.call, send.attempt, result, now_);
+        calls_.onAttemptEnded(send.call, send.attempt, result, now_);
     }
     void advance(Duration span)
     {
@@ -146,22 +146,22 @@
     /// by `growth` for each preceding token.
     void readPrompt(const std::string &adapter, double tokens, double tokensPerMs, double growth = 0)
     {
-        CallFacts info;
+        CallInfo info;
         info.requestId = "read" + std::to_string(++lastCall_);
         info.host = host;
         info.path = "/s/x";
-        info.patience = Seconds(60);
+        info.callerTimeout = Seconds(60);
         info.model = modelName;
         info.adapter = adapter;
         info.promptTokens = static_cast<std::uint32_t>(tokens);
         info.parts = {{"own", static_cast<std::uint32_t>(tokens)}};
         calls_.applyState("10.0.1.1:80", makeState({adapter}), now_);
-        calls_.arrive(CallHandle{lastCall_}, info, now_);
+        calls_.onCall(CallHandle{lastCall_}, info, now_);
         const auto send = takeSentCall();
         now_ += fromMilliseconds((tokens + growth * tokens * tokens / 2) / tokensPerMs);
-        calls_.answerBegan(send.call, send.attempt, now_);
+        calls_.onAnswerStarted(send.call, send.attempt, now_);
         endAttempt(send, AttemptEnd::Answered);
-        takeActions<SendWishes>();
+        takeActions<SendDemand>();
     }
     /// Runs calls of this duration at the only engine.
     void runCalls(const std::string &adapter, Duration span)
@@ -170,10 +170,10 @@
             calls_.applyState("10.0.1.1:80", makeState({adapter}), now_);
             startCall("/s/x", adapter);
             const auto send = takeSentCall();
-            calls_.answerBegan(send.call, send.attempt, now_);
+            calls_.onAnswerStarted(send.call, send.attempt, now_);
             now_ += span;
             endAttempt(send, AttemptEnd::Answered);
-            takeActions<SendWishes>();
+            takeActions<SendDemand>();
         }
     }
     /// Runs enough calls for the entry to measure the reading speed of its engine.
--- a/tests/unit/direct_herd_test.cpp
+++ b/tests/unit/direct_herd_test.cpp
@@ -28,17 +28,17 @@
                 state.set_unread_tokens(address == freeEngine ? 0 : busyTokens);
                 calls.applyState(address, state, now);
             }
-            CallFacts info;
+            CallInfo info;
             info.requestId = "entry" + std::to_string(entry);
             info.host = host;
             info.path = "/s/x";
-            info.patience = Seconds(60);
+            info.callerTimeout = Seconds(60);
             info.model = modelName;
             info.adapter = "a" + std::to_string(entry);
             info.promptTokens = 600;
-            calls.arrive(CallHandle{1}, info, now);
+            calls.onCall(CallHandle{1}, info, now);
             for (const auto &action : calls.takeActions()) {
-                const auto *sentDemand = std::get_if<SendWishes>(&action);
+                const auto *sentDemand = std::get_if<SendDemand>(&action);
                 if (sentDemand != nullptr && sentDemand->demand.waiting_tokens() != 0) {
                     ++result[sentDemand->address];
                 }
@@ -58,7 +58,7 @@
     EXPECT_GT(count, 0) << "it is free, and some choose it";
     EXPECT_LE(count, entries / 2);
     DirectPolicy all;
-    all.without = *readMechanisms("sampling");
+    all.disabled = *parseMechanisms("sampling");
     EXPECT_EQ(placed(all, now_)[freeEngine], entries) << "without sampling, all choose the idle engine";
 }
 
--- a/tests/unit/direct_keeper_test.cpp
+++ b/tests/unit/direct_keeper_test.cpp
@@ -43,7 +43,7 @@
     return report;
 }
 
-class Keeper : public testing::Test
+class AdapterControllerTest : public testing::Test
 {
 protected:
     void setDemand(const std::vector<std::string> &waiting, const std::string &endpointId = "i-1")
@@ -62,7 +62,7 @@
         const auto order = controller_.nextOrder(now_);
         ASSERT_TRUE(order);
         EXPECT_EQ(order->adapter, name);
-        controller_.orderEnded(order->id, EngineOrderResult::Accepted, "", now_);
+        controller_.onOrderEnded(order->id, EngineOrderResult::Accepted, "", now_);
         advance(took);
         controller_.applyReport(reportOf(++loaded_, {name}), now_);
     }
@@ -70,11 +70,11 @@
     TimePoint now_{Seconds(100)};
     std::uint32_t slots_ = engineSlots;
     std::uint64_t loaded_ = 0; // orders that `load` has completed
-    AdapterKeeper controller_{firstFence};
+    AdapterController controller_{firstFence};
 };
 
 // Guards against a leaving state that is sent late, or that is attributed to the next incarnation.
-TEST_F(Keeper, ReportsLeavingOnlyForTheSameIncarnation)
+TEST_F(AdapterControllerTest, ReportsLeavingOnlyForTheSameIncarnation)
 {
     setDemand({});
     controller_.applyReport(reportOf(0, {}), now_);
@@ -88,12 +88,12 @@
     setDemand({"a1"}, "i-2");
     const auto order = controller_.nextOrder(now_);
     ASSERT_TRUE(order);
-    controller_.orderEnded(order->id, EngineOrderResult::OtherIncarnation, "i-2", now_);
+    controller_.onOrderEnded(order->id, EngineOrderResult::OtherIncarnation, "i-2", now_);
     EXPECT_EQ(controller_.state(now_).endpoint_id(), "i-2");
     EXPECT_FALSE(controller_.state(now_).leaving());
 }
 
-TEST_F(Keeper, LoadsWhatCallsWaitFor)
+TEST_F(AdapterControllerTest, LoadsWhatCallsWaitFor)
 {
     setDemand({"a1"});
     EXPECT_FALSE(controller_.nextOrder(now_)) << "no engine report yet";
@@ -102,14 +102,14 @@
     ASSERT_TRUE(order);
     EXPECT_EQ(order->kind, EngineOrderKind::Load);
     EXPECT_EQ(order->adapter, "a1");
-    EXPECT_EQ(order->expected, 7U);
-    EXPECT_EQ(order->fence, firstFence);
+    EXPECT_EQ(order->expectedSequence, 7U);
+    EXPECT_EQ(order->fencingNumber, firstFence);
     EXPECT_EQ(order->endpointId, "i-1");
     EXPECT_FALSE(controller_.nextOrder(now_)) << "one order is under way at a time";
 }
 
 // Guards against loading more adapters than the engine has slots, which crashes it: pending loads count as held.
-TEST_F(Keeper, NeverOrdersMoreThanTheSlotsHold)
+TEST_F(AdapterControllerTest, NeverOrdersMoreThanTheSlotsHold)
 {
     for (int i = 0; i < 3; ++i) {
         load("b" + std::to_string(i), Milliseconds(250)); // a fast store allows concurrent loads
@@ -125,7 +125,7 @@
     EXPECT_EQ(order->adapter, "a1");
 }
 
-TEST_F(Keeper, KeepsWhatIsInUse)
+TEST_F(AdapterControllerTest, KeepsWhatIsInUse)
 {
     auto demand = demandFor("i-1", {"a3"});
     for (const auto *adapter : {"a1", "a2"}) {
@@ -142,19 +142,19 @@
 }
 
 // Guards against two loads being applied when the answer to the first is lost: both expect the same sequence.
-TEST_F(Keeper, AnOrderWithoutAnswerIsFollowedByOneThatExcludesIt)
+TEST_F(AdapterControllerTest, AnOrderWithoutAnswerIsFollowedByOneThatExcludesIt)
 {
     setDemand({"a1"});
     controller_.applyReport(reportOf(7, {}), now_);
     const auto lost = controller_.nextOrder(now_);
-    controller_.orderEnded(lost->id, EngineOrderResult::NoAnswer, "", now_);
+    controller_.onOrderEnded(lost->id, EngineOrderResult::NoAnswer, "", now_);
     const auto next = controller_.nextOrder(now_);
     ASSERT_TRUE(next);
-    EXPECT_EQ(next->expected, lost->expected);
+    EXPECT_EQ(next->expectedSequence, lost->expectedSequence);
 }
 
 // Guards against waiting for a lost answer longer than it could still arrive.
-TEST_F(Keeper, LostAnswerTimesOutQuickly)
+TEST_F(AdapterControllerTest, LostAnswerTimesOutQuickly)
 {
     const auto before = controller_.orderTimeout();
     for (int i = 0; i < 10; ++i) {
@@ -163,7 +163,7 @@
         const auto order = controller_.nextOrder(now_);
         ASSERT_TRUE(order);
         advance(Milliseconds(3));
-        controller_.orderEnded(order->id, EngineOrderResult::Accepted, "", now_);
+        controller_.onOrderEnded(order->id, EngineOrderResult::Accepted, "", now_);
     }
     EXPECT_LT(controller_.orderTimeout(), before / 2);
     EXPECT_GE(controller_.orderTimeout(), Milliseconds(15));
@@ -171,12 +171,12 @@
 
 // Guards against orders under an incarnation that the engine has refused, and against keeping it once entries report
 // the new one.
-TEST_F(Keeper, AppliesTheEnginesNewIncarnation)
+TEST_F(AdapterControllerTest, AppliesTheEnginesNewIncarnation)
 {
     setDemand({"a1"});
     controller_.applyReport(reportOf(7, {}), now_);
     const auto stale = controller_.nextOrder(now_);
-    controller_.orderEnded(stale->id, EngineOrderResult::OtherIncarnation, "", now_);
+    controller_.onOrderEnded(stale->id, EngineOrderResult::OtherIncarnation, "", now_);
     controller_.applyReport(reportOf(0, {}), now_);
     advance(Seconds(1));
     EXPECT_FALSE(controller_.nextOrder(now_));
@@ -185,26 +185,26 @@
     ASSERT_TRUE(order);
     EXPECT_EQ(order->endpointId, "i-2");
     setDemand({"a1"}, "i-1"); // an entry with outdated state
-    controller_.orderEnded(order->id, EngineOrderResult::Conflict, "", now_);
+    controller_.onOrderEnded(order->id, EngineOrderResult::Conflict, "", now_);
     advance(Seconds(1));
     ASSERT_TRUE(controller_.nextOrder(now_));
 }
 
 // Guards against an engine that refuses all orders because an earlier start used a higher fencing number.
-TEST_F(Keeper, RaisesItsFenceWhenAnEarlierStartWasAhead)
+TEST_F(AdapterControllerTest, RaisesItsFenceWhenAnEarlierStartWasAhead)
 {
     setDemand({"a1"});
     controller_.applyReport(reportOf(7, {}), now_);
     const auto refused = controller_.nextOrder(now_);
-    controller_.orderEnded(refused->id, EngineOrderResult::FencedOff, "", now_);
+    controller_.onOrderEnded(refused->id, EngineOrderResult::FencedOff, "", now_);
     const auto next = controller_.nextOrder(now_);
     ASSERT_TRUE(next);
-    EXPECT_GT(next->fence, refused->fence + 2000);
+    EXPECT_GT(next->fencingNumber, refused->fencingNumber + 2000);
 }
 
 // Guards against concurrent loads from an overloaded store, and against loading for late calls before those that can
 // meet their objective.
-TEST_F(Keeper, LoadsOneAfterTheOtherWhileTheStoreIsSlow)
+TEST_F(AdapterControllerTest, LoadsOneAfterTheOtherWhileTheStoreIsSlow)
 {
     slots_ = 4;
     for (int i = 0; i < 12; ++i) {
@@ -232,14 +232,14 @@
     EXPECT_EQ(order->adapter, "a3");
 }
 
-TEST_F(Keeper, LoadsSideBySideWhileTheStoreKeepsUp)
+TEST_F(AdapterControllerTest, LoadsSideBySideWhileTheStoreKeepsUp)
 {
     slots_ = 4;
     setDemand({"a1", "a2"});
     controller_.applyReport(reportOf(0, {}), now_);
     const auto first = controller_.nextOrder(now_);
     ASSERT_TRUE(first);
-    controller_.orderEnded(first->id, EngineOrderResult::Accepted, "", now_);
+    controller_.onOrderEnded(first->id, EngineOrderResult::Accepted, "", now_);
     auto report = reportOf(1, {});
     report.pending.push_back({modelName, first->adapter, 1});
     controller_.applyReport(report, now_);
@@ -250,7 +250,7 @@
     EXPECT_EQ(controller_.state(now_).loads_at_once(), 2U);
 }
 
-TEST_F(Keeper, ReplacesAnOlderVersionOnceANewerOneIsNamed)
+TEST_F(AdapterControllerTest, ReplacesAnOlderVersionOnceANewerOneIsNamed)
 {
     auto demand = demandFor("i-1", {});
     auto &adapterDemand = *demand.add_wishes();
@@ -265,7 +265,7 @@
     EXPECT_EQ(order->adapter, "a1");
 }
 
-TEST_F(Keeper, FillsAnEngineThatHasRestartedEmpty)
+TEST_F(AdapterControllerTest, FillsAnEngineThatHasRestartedEmpty)
 {
     setDemand({"a1"});
     auto empty = reportOf(0, {});
@@ -278,17 +278,17 @@
 }
 
 // Guards against a lost load from before a restart that is accepted at its sequence and overloads a full engine.
-TEST_F(Keeper, KeepsASlotFreeForALostLoadFromBeforeARestart)
+TEST_F(AdapterControllerTest, KeepsASlotFreeForALostLoadFromBeforeARestart)
 {
     auto before = reportOf(1, {});
-    before.born = 1000;
+    before.startTimeMs = 1000;
     setDemand({"a1", "a2", "a3"});
     controller_.applyReport(before, now_);
     const auto lost = controller_.nextOrder(now_);
     ASSERT_TRUE(lost);
-    controller_.orderEnded(lost->id, EngineOrderResult::NoAnswer, "", now_);
+    controller_.onOrderEnded(lost->id, EngineOrderResult::NoAnswer, "", now_);
     auto after = reportOf(0, {"a1"});
-    after.born = 2000;
+    after.startTimeMs = 2000;
     controller_.applyReport(after, now_);
     const auto careful = controller_.nextOrder(now_);
     ASSERT_FALSE(careful && careful->kind == EngineOrderKind::Load) << "with it the engine would be full at sequence 1";
@@ -300,26 +300,26 @@
 }
 
 // Guards against an answer from before a restart that counts for the new process or delays the next order.
-TEST_F(Keeper, IgnoresAnswerToAnOrderFromBeforeARestart)
+TEST_F(AdapterControllerTest, IgnoresAnswerToAnOrderFromBeforeARestart)
 {
     auto before = reportOf(300, {});
-    before.born = 1000;
+    before.startTimeMs = 1000;
     setDemand({"a1"});
     controller_.applyReport(before, now_);
     const auto order = controller_.nextOrder(now_);
     ASSERT_TRUE(order);
     auto after = reportOf(301, {}); // higher than before the restart by chance
-    after.born = 2000;
+    after.startTimeMs = 2000;
     controller_.applyReport(after, now_);
-    controller_.orderEnded(order->id, EngineOrderResult::Accepted, "", now_);
+    controller_.onOrderEnded(order->id, EngineOrderResult::Accepted, "", now_);
     const auto next = controller_.nextOrder(now_);
     ASSERT_TRUE(next);
-    EXPECT_EQ(next->expected, 301U);
+    EXPECT_EQ(next->expectedSequence, 301U);
     EXPECT_EQ(controller_.state(now_).born(), 2000U);
 }
 
 // Guards against entries that place calls at one engine because they learn too late of each other's waiting calls.
-TEST_F(Keeper, WorkThatWaitsCountsAsPending)
+TEST_F(AdapterControllerTest, WorkThatWaitsCountsAsPending)
 {
     controller_.applyReport(reportOf(0, {}), now_);
     EXPECT_EQ(controller_.pendingWork(), 0U);
@@ -328,11 +328,11 @@
     demand.set_waiting_tokens(2000);
     controller_.applyDemand(PeerHandle{1}, demand, now_);
     EXPECT_GT(controller_.pendingWork(), 2100U) << "the load counts as well";
-    controller_.peerLost(PeerHandle{1});
+    controller_.onPeerLost(PeerHandle{1});
     EXPECT_EQ(controller_.pendingWork(), 0U);
 }
 
-TEST_F(Keeper, ReportsRecentCallsOfAnAdapter)
+TEST_F(AdapterControllerTest, ReportsRecentCallsOfAnAdapter)
 {
     setDemand({});
     auto demand = demandFor("i-1", {});
--- a/tests/unit/direct_leaving_test.cpp
+++ b/tests/unit/direct_leaving_test.cpp
@@ -14,7 +14,7 @@
     void applyLeaving(const std::string &id, std::uint64_t startTimeMs, bool leaving)
     {
         auto record = makeEndpoint(id, engineService, "10.0.1.1:80");
-        record.born = startTimeMs;
+        record.startTimeMs = startTimeMs;
         record.leaving = leaving;
         calls_.applyEndpoint(record, now_);
     }
@@ -87,7 +87,7 @@
 TEST_F(Leaving, AnEndpointThatSaysSoInAnAnswerGetsNoMoreCalls)
 {
     addPlainEndpoints();
-    calls_.endpointTold("p-1", {true, Duration(0)}, now_);
+    calls_.onEndpointNotice("p-1", {true, Duration(0)}, now_);
     for (int i = 0; i < 12; ++i) {
         startCall("/n/x");
         EXPECT_EQ(takeSentCall().endpointId, "p-2");
@@ -98,7 +98,7 @@
 TEST_F(Leaving, NoRecordBringsBackAnEndpointThatSaidThatItLeaves)
 {
     addPlainEndpoints();
-    calls_.endpointTold("p-1", {true, Duration(0)}, now_);
+    calls_.onEndpointNotice("p-1", {true, Duration(0)}, now_);
     calls_.applyEndpoint(makeEndpoint("p-1", plainService, "10.0.0.1:80"), now_);
     calls_.removeEndpoint("p-1", now_);
     calls_.applyEndpoint(makeEndpoint("p-1", plainService, "10.0.0.1:80"), now_);
@@ -115,7 +115,7 @@
     startCall("/s/x", "a2");
     takeActions<SendCall>();
     addEngine("e-2", addressTwo, {"a2"});
-    calls_.endpointTold("e-1", {true, Duration(0)}, now_);
+    calls_.onEndpointNotice("e-1", {true, Duration(0)}, now_);
     EXPECT_EQ(takeSentCall().endpointId, "e-2");
 }
 
@@ -124,7 +124,7 @@
 {
     addEngines();
     applyLeaving("e-1", 1000, false);
-    calls_.endpointTold("e-1", {true, Duration(0)}, now_);
+    calls_.onEndpointNotice("e-1", {true, Duration(0)}, now_);
     EXPECT_EQ(used(), std::set<std::string>{"e-2"});
     applyLeaving("e-1", 2000, false);
     auto state = stateOf("e-1", false);
@@ -141,7 +141,7 @@
 TEST_F(Pausing, AnEndpointGetsNoCallsForAsLongAsItSaid)
 {
     addPlainEndpoints();
-    calls_.endpointTold("p-1", {false, Seconds(5)}, now_);
+    calls_.onEndpointNotice("p-1", {false, Seconds(5)}, now_);
     const auto over = now_ + Seconds(5);
     while (now_ < over) {
         startCall("/n/x");
@@ -162,8 +162,8 @@
 TEST_F(Pausing, RetryTimeIsTheEndOfTheFirstPause)
 {
     addPlainEndpoints();
-    calls_.endpointTold("p-1", {false, Milliseconds(1500)}, now_);
-    calls_.endpointTold("p-2", {false, Seconds(5)}, now_);
+    calls_.onEndpointNotice("p-1", {false, Milliseconds(1500)}, now_);
+    calls_.onEndpointNotice("p-2", {false, Seconds(5)}, now_);
     advance(Milliseconds(300));
     startCall("/n/x");
     const auto refused = takeActions<RefuseCall>();
@@ -179,7 +179,7 @@
     startCall("/s/x", "a2");
     takeActions<SendCall>();
     addEngine("e-2", addressTwo, {"a2"});
-    calls_.endpointTold("e-1", {false, Seconds(2)}, now_);
+    calls_.onEndpointNotice("e-1", {false, Seconds(2)}, now_);
     EXPECT_EQ(takeSentCall().endpointId, "e-2");
 }
 
--- a/tests/unit/direct_load_test.cpp
+++ b/tests/unit/direct_load_test.cpp
@@ -36,14 +36,14 @@
     addEngine("e-1", "10.0.1.1:80", {});
     addEngine("e-2", "10.0.1.2:80", {});
     startCall("/s/x", "a1");
-    const auto usual = takeActions<SendWishes>();
+    const auto usual = takeActions<SendDemand>();
     ASSERT_EQ(usual.size(), 1U);
     auto state = makeState({});
     state.set_waiting_tokens(60'000);
     applyState(usual.front().address, state);
     startCall("/s/x", "a1");
     EXPECT_EQ(calls_.stats().waitedForAdapter, 2U);
-    const auto second = takeActions<SendWishes>();
+    const auto second = takeActions<SendDemand>();
     ASSERT_EQ(second.size(), 1U);
     EXPECT_NE(second.front().address, usual.front().address);
 }
@@ -52,7 +52,7 @@
 {
     addEngine("e-1", "10.0.1.1:80", {});
     startCall("/s/x", "a1");
-    const auto demands = takeActions<SendWishes>();
+    const auto demands = takeActions<SendDemand>();
     ASSERT_EQ(demands.size(), 1U);
     EXPECT_GE(demands.front().demand.waiting_tokens(), 3000U);
     EXPECT_EQ(demands.front().demand.unread_tokens(), 0U);
@@ -65,9 +65,9 @@
 {
     addEngine("e-1", "10.0.1.1:80", {});
     startCall("/s/x", "a1");
-    takeActions<SendWishes>();
+    takeActions<SendDemand>();
     advance(Milliseconds(1100));
-    const auto demands = takeActions<SendWishes>();
+    const auto demands = takeActions<SendDemand>();
     ASSERT_FALSE(demands.empty());
     EXPECT_EQ(demands.back().demand.wishes(0).waiting(), 1U);
     EXPECT_EQ(demands.back().demand.wishes(0).in_time(), 0U);
@@ -130,7 +130,7 @@
         addEngine("e-" + std::to_string(i), "10.0.1." + std::to_string(i) + ":80", {});
     }
     startCall("/s/x", "a1");
-    const auto home = takeActions<SendWishes>().front().address;
+    const auto home = takeActions<SendDemand>().front().address;
     const std::string elsewhere = home == "10.0.1.1:80" ? "10.0.1.2:80" : "10.0.1.1:80";
     auto state = makeState({});
     auto &awaited = *state.add_awaited();
@@ -140,7 +140,7 @@
     for (const auto *adapter : {"a2", "a2"}) {
         applyState(elsewhere, state);
         startCall("/s/x", adapter);
-        const auto demands = takeActions<SendWishes>();
+        const auto demands = takeActions<SendDemand>();
         ASSERT_EQ(demands.size(), 1U);
         EXPECT_EQ(demands.front().address, elsewhere);
     }
@@ -160,12 +160,12 @@
         full.set_loads_in_time(2);
         applyState("10.0.1.1:80", full);
         startCall("/s/x", "a" + std::to_string(i));
-        const auto demands = takeActions<SendWishes>();
+        const auto demands = takeActions<SendDemand>();
         ASSERT_EQ(demands.size(), 1U);
         EXPECT_EQ(demands.front().address, "10.0.1.2:80") << "whichever engine the adapter would go to otherwise";
         advance(Milliseconds(1));
-        calls_.callerGone(CallHandle{lastCall_}, now_);
-        takeActions<SendWishes>();
+        calls_.onCallerGone(CallHandle{lastCall_}, now_);
+        takeActions<SendDemand>();
     }
 }
 
@@ -175,11 +175,11 @@
     addEngine("e-1", "10.0.1.1:80", {});
     addEngine("e-2", "10.0.1.2:80", {});
     startCall("/s/x", "a1");
-    const auto first = takeActions<SendWishes>().front().address;
+    const auto first = takeActions<SendDemand>().front().address;
     auto crashed = makeState({"a2"});
     crashed.set_reachable(false);
     applyState(first, crashed);
-    const auto placed = takeActions<SendWishes>();
+    const auto placed = takeActions<SendDemand>();
     ASSERT_FALSE(placed.empty());
     EXPECT_NE(placed.back().address, first);
     startCall("/s/x", "a2");
@@ -211,18 +211,18 @@
     for (int i = 0; i < 4; ++i) {
         readPrompt("a1", 20'000, 38.4, pairs);
     }
-    CallFacts info;
+    CallInfo info;
     info.requestId = "long";
     info.host = host;
     info.path = "/s/x";
-    info.patience = Seconds(5);
+    info.callerTimeout = Seconds(5);
     info.model = modelName;
     info.adapter = "a1";
     info.promptTokens = 30'000;
     info.parts = {{"own", 30'000}};
-    calls_.arrive(CallHandle{77}, info, now_);
+    calls_.onCall(CallHandle{77}, info, now_);
     advance(Milliseconds(500));
-    const auto demands = takeActions<SendWishes>();
+    const auto demands = takeActions<SendDemand>();
     ASSERT_FALSE(demands.empty());
     EXPECT_GT(demands.back().demand.unread_tokens(), 40'000U);
     EXPECT_LT(demands.back().demand.unread_tokens(), 43'000U);
--- a/tests/unit/direct_news_test.cpp
+++ b/tests/unit/direct_news_test.cpp
@@ -10,63 +10,63 @@
 
 constexpr PeerHandle entry{1};
 
-class News : public testing::Test
+class StatePublisherTest : public testing::Test
 {
 protected:
-    News()
+    StatePublisherTest()
     {
         publisher_.update(makeState({"a"}));
     }
     /// The entry has received the current state and acknowledges it.
     void acknowledge()
     {
-        const auto message = publisher_.messageFor(entry);
+        const auto message = publisher_.buildMessage(entry);
         ASSERT_TRUE(message.has_direct_state());
-        publisher_.entryHas(entry, message.direct_state().sequence());
+        publisher_.onStateAcknowledged(entry, message.direct_state().sequence());
     }
 
-    StateNews publisher_;
+    StatePublisher publisher_;
 };
 
-TEST_F(News, EntryWithTheStateReceivesHeartbeats)
+TEST_F(StatePublisherTest, EntryWithTheStateReceivesHeartbeats)
 {
     acknowledge();
     auto state = makeState({"a"});
     state.set_unread_tokens(500);
     state.set_room(1);
     publisher_.update(state);
-    const auto message = publisher_.messageFor(entry);
+    const auto message = publisher_.buildMessage(entry);
     ASSERT_TRUE(message.has_direct_heartbeat());
     EXPECT_EQ(message.direct_heartbeat().unread_tokens(), 500U);
     EXPECT_EQ(message.direct_heartbeat().room(), 1U);
     EXPECT_LT(5 * message.ByteSizeLong(), 200U) << "a fifth of what a state of a full engine takes";
 }
 
-TEST_F(News, ChangeSendsTheWholeState)
+TEST_F(StatePublisherTest, ChangeSendsTheWholeState)
 {
     acknowledge();
     publisher_.update(makeState({"a", "b"}));
-    EXPECT_TRUE(publisher_.messageFor(entry).has_direct_state());
-    EXPECT_TRUE(publisher_.messageFor(entry).has_direct_heartbeat()) << "and only once";
+    EXPECT_TRUE(publisher_.buildMessage(entry).has_direct_state());
+    EXPECT_TRUE(publisher_.buildMessage(entry).has_direct_heartbeat()) << "and only once";
 }
 
 // Guards against heartbeats that are applied to a state the entry never received.
-TEST_F(News, LostStateIsSentAgain)
+TEST_F(StatePublisherTest, LostStateIsSentAgain)
 {
     acknowledge();
     publisher_.update(makeState({"a", "b"}));
-    const auto lost = publisher_.messageFor(entry).direct_state().sequence();
-    publisher_.entryHas(entry, lost - 1);
-    const auto again = publisher_.messageFor(entry);
+    const auto lost = publisher_.buildMessage(entry).direct_state().sequence();
+    publisher_.onStateAcknowledged(entry, lost - 1);
+    const auto again = publisher_.buildMessage(entry);
     ASSERT_TRUE(again.has_direct_state());
     EXPECT_EQ(again.direct_state().sequence(), lost);
 }
 
-TEST_F(News, AnEntryThatNeverNamesAStateGetsWholeOnes)
+TEST_F(StatePublisherTest, AnEntryThatNeverNamesAStateGetsWholeOnes)
 {
-    publisher_.entryHas(entry, 0);
-    EXPECT_TRUE(publisher_.messageFor(entry).has_direct_state());
-    EXPECT_TRUE(publisher_.messageFor(entry).has_direct_state());
+    publisher_.onStateAcknowledged(entry, 0);
+    EXPECT_TRUE(publisher_.buildMessage(entry).has_direct_state());
+    EXPECT_TRUE(publisher_.buildMessage(entry).has_direct_state());
 }
 
 class HeardEngines : public test::Calls
@@ -78,7 +78,7 @@
             calls_.applyEndpoint(test::makeEndpoint(id, test::engineService, address), now_);
             calls_.applyState(address, makeReportedState(id, {"a", "b"}), now_);
         }
-        takeActions<SendWishes>();
+        takeActions<SendDemand>();
     }
     static wire::DirectState makeReportedState(const std::string &id, const std::vector<std::string> &adapters)
     {
@@ -155,7 +155,7 @@
 {
     advance(Milliseconds(250));
     sendHeartbeat(addressOne);
-    calls_.sidecarLost(addressTwo);
+    calls_.onSidecarLost(addressTwo);
     advance(Milliseconds(250));
     sendHeartbeat(addressOne);
     EXPECT_EQ(chosen(), (std::set<std::string>{"e-1", "e-2"}));
--- a/tests/unit/direct_popularity_test.cpp
+++ b/tests/unit/direct_popularity_test.cpp
@@ -25,7 +25,7 @@
             }
             calls_.applyState(address, state, now_);
         }
-        takeActions<SendWishes>();
+        takeActions<SendDemand>();
     }
     /// True if the next call waits for a load into another engine, false if it is sent to a holder.
     bool nextCallWaitsForLoad()
@@ -74,17 +74,17 @@
             }
             calls.applyState(address, state, now_);
         }
-        CallFacts info;
+        CallInfo info;
         info.requestId = "entry" + std::to_string(entry);
         info.host = host;
         info.path = "/s/x";
-        info.patience = Seconds(4);
+        info.callerTimeout = Seconds(4);
         info.model = modelName;
         info.adapter = "a";
         info.promptTokens = 3000;
-        calls.arrive(CallHandle{1}, info, now_);
+        calls.onCall(CallHandle{1}, info, now_);
         for (const auto &action : calls.takeActions()) {
-            if (const auto *sentDemand = std::get_if<SendWishes>(&action);
+            if (const auto *sentDemand = std::get_if<SendDemand>(&action);
                 sentDemand != nullptr && sentDemand->demand.waiting_tokens() != 0) {
                 chosen.insert(sentDemand->address);
             }
--- a/tests/unit/direct_quarantine_test.cpp
+++ b/tests/unit/direct_quarantine_test.cpp
@@ -15,13 +15,13 @@
     }
     CallHandle startCallWith(const std::string &path, CallFingerprint fingerprint)
     {
-        CallFacts info;
+        CallInfo info;
         info.requestId = "q" + std::to_string(++lastCall_);
         info.fingerprint = fingerprint;
         info.host = host;
         info.path = path;
-        info.patience = Seconds(4);
-        calls_.arrive(CallHandle{lastCall_}, info, now_);
+        info.callerTimeout = Seconds(4);
+        calls_.onCall(CallHandle{lastCall_}, info, now_);
         return CallHandle{lastCall_};
     }
     void crash(const std::string &path, CallFingerprint fingerprint)
@@ -146,15 +146,15 @@
 TEST_F(Quarantine, QuarantineEndsAWaitingCall)
 {
     addEngine("e-1", addressOne, {});
-    CallFacts info;
+    CallInfo info;
     info.requestId = "waits";
     info.fingerprint = fatal;
     info.host = host;
     info.path = "/s/x";
     info.model = modelName;
     info.adapter = "a1";
-    info.patience = Seconds(4);
-    calls_.arrive(CallHandle{77}, info, now_);
+    info.callerTimeout = Seconds(4);
+    calls_.onCall(CallHandle{77}, info, now_);
     calls_.takeActions();
     for (const auto *id : {"elsewhere-1", "elsewhere-2", "elsewhere-3"}) {
         calls_.applyCrashReport({id, 0, {fatal}}, now_);
@@ -186,7 +186,7 @@
     for (const auto *id : {"elsewhere-1", "elsewhere-2", "elsewhere-3"}) {
         calls_.applyCrashReport({id, 0, {fatal}}, now_);
     }
-    now_ += crashReportLife;
+    now_ += crashReportLifetime;
     expectSent(fatal);
     calls_.applyCrashReport({"elsewhere-4", 0, {fatal}}, now_);
     expectSent(fatal);
--- a/tests/unit/direct_restart_test.cpp
+++ b/tests/unit/direct_restart_test.cpp
@@ -13,7 +13,7 @@
                                    const std::string &address = "10.0.1.1:80")
     {
         auto record = makeEndpoint(id, engineService, address);
-        record.born = startTimeMs;
+        record.startTimeMs = startTimeMs;
         return record;
     }
     static wire::DirectState stateOf(std::uint64_t startTimeMs, const std::vector<std::string> &adapters)
@@ -107,8 +107,8 @@
     calls_.applyEndpoint(recordOf(firstStartMs), now_);
     applyState(stateOf(firstStartMs, {"a1"}));
     auto foreign = makeEndpoint("x-1", "nobody's", "10.0.1.1:80");
-    foreign.created = 1000;
-    foreign.born = secondStartMs;
+    foreign.createRevision = 1000;
+    foreign.startTimeMs = secondStartMs;
     calls_.applyEndpoint(foreign, now_);
     startCall("/s/x", "a1");
     EXPECT_EQ(takeSentCall().endpointId, "e-1");
@@ -123,10 +123,10 @@
 {
     auto before = makeEndpoint("e-1", engineService, addressOne);
     before.era = 1;
-    before.created = 100;
+    before.createRevision = 100;
     auto present = makeEndpoint("e-2", engineService, addressOne);
     present.era = 2;
-    present.created = 95;
+    present.createRevision = 95;
     calls_.applyEndpoint(before, now_);
     calls_.applyEndpoint(present, now_);
     calls_.applyState(addressOne, makeState({"a1"}), now_);
--- a/tests/unit/http_client_test.cpp
+++ b/tests/unit/http_client_test.cpp
@@ -27,8 +27,8 @@
             HttpClientInit init;
             init.address = server_.address().toString();
             init.connectTimeout = Seconds(5);
-            init.keepIdle = Seconds(30);
-            init.keepMargin = Milliseconds(400);
+            init.maxIdleTime = Seconds(30);
+            init.idleMargin = Milliseconds(400);
             client_ = std::make_unique<HttpClient>(loop_, init);
         });
     }
--- a/tests/unit/http_test.cpp
+++ b/tests/unit/http_test.cpp
@@ -79,7 +79,7 @@
 {
     const auto parsed = parseRequestHead("POST /a HTTP/1.1\r\nHost: e\r\nContent-Length: 11\r\n\r\n", 10);
     ASSERT_FALSE(parsed);
-    EXPECT_EQ(parsed.error(), HttpProblem::BodyTooLarge);
+    EXPECT_EQ(parsed.error(), HttpError::BodyTooLarge);
 }
 
 HttpReply makeErrorReply()
--- a/tests/unit/net_test.cpp
+++ b/tests/unit/net_test.cpp
@@ -70,7 +70,7 @@
 };
 
 std::unique_ptr<Messenger> makeMessenger(EventRecorder &events, const std::string &name, std::uint16_t port = 0,
-                                         LifeSign lifeSign = LifeSign::Heartbeats)
+                                         LivenessCheck livenessCheck = LivenessCheck::Heartbeats)
 {
     MessengerInit init;
     init.address = "127.0.0.1";
@@ -78,8 +78,8 @@
     init.name = name;
     init.incarnation = 1;
     init.heartbeat = Milliseconds(50);
-    init.silence = Milliseconds(500);
-    init.lifeSign = lifeSign;
+    init.silenceTimeout = Milliseconds(500);
+    init.livenessCheck = livenessCheck;
     auto messenger = Messenger::create(init, events.handlers());
     EXPECT_TRUE(messenger);
     (*messenger)->start();
@@ -127,8 +127,8 @@
 {
     EventRecorder entryEvents;
     EventRecorder sidecarEvents;
-    const auto entry = makeMessenger(entryEvents, "entry", 0, LifeSign::KeepAlive);
-    const auto sidecar = makeMessenger(sidecarEvents, "sidecar", 0, LifeSign::KeepAlive);
+    const auto entry = makeMessenger(entryEvents, "entry", 0, LivenessCheck::KeepAlive);
+    const auto sidecar = makeMessenger(sidecarEvents, "sidecar", 0, LivenessCheck::KeepAlive);
     entry->connectTo("sidecar", addressOf(*sidecar));
     entry->sendTo("sidecar", makeCallRequest(1));
     ASSERT_TRUE(sidecarEvents.wait([&] { return sidecarEvents.fromPeers.size() == 1; }));
@@ -144,8 +144,8 @@
 {
     EventRecorder entryEvents;
     EventRecorder sidecarEvents;
-    const auto entry = makeMessenger(entryEvents, "entry", 0, LifeSign::KeepAlive);
-    const auto sidecar = makeMessenger(sidecarEvents, "sidecar", 0, LifeSign::KeepAlive);
+    const auto entry = makeMessenger(entryEvents, "entry", 0, LivenessCheck::KeepAlive);
+    const auto sidecar = makeMessenger(sidecarEvents, "sidecar", 0, LivenessCheck::KeepAlive);
     entry->connectTo("sidecar", addressOf(*sidecar));
     ASSERT_TRUE(entryEvents.wait([&] { return entryEvents.targetsUp == 1; }));
     EXPECT_FALSE(entryEvents.wait([&] { return entryEvents.targetsLost == 1; }, Milliseconds(1500)));
--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -313,7 +313,7 @@
     EXPECT_EQ(client.reply(watch).status, KvStatus::Ok);
     const auto written = client.put("a", "1", 0);
     const auto event = client.reply(watch);
-    EXPECT_TRUE(event.event);
+    EXPECT_TRUE(event.isEvent);
     ASSERT_EQ(event.entries.size(), 1U);
     EXPECT_EQ(event.entries[0].value, "1");
     EXPECT_EQ(event.entries[0].modRevision, written.storeRevision);
--- a/tests/unit/residency_faults_test.cpp
+++ b/tests/unit/residency_faults_test.cpp
@@ -255,7 +255,7 @@
     fixture.sidecar.onEngineReport({fixture.engine.incarnation, 0, 0, 0, {}}, fixture.now);
     fixture.collect();
     ASSERT_EQ(fixture.cancelled.size(), 1U);
-    EXPECT_EQ(fixture.cancelled[0].why, FailureReason::EndpointRestarted);
+    EXPECT_EQ(fixture.cancelled[0].reason, FailureReason::EndpointRestarted);
     EXPECT_EQ(fixture.sidecar.stats().running, 0U);
     const auto duringRecovery = fixture.call(lounge);
     EXPECT_EQ(fixture.refusalOf(duringRecovery), RefusalReason::Recovering);
@@ -380,7 +380,7 @@
     fixture.call(lounge);
     fixture.engine.highestFence = 1'000'000;
     fixture.answerOrders();
-    EXPECT_TRUE(fixture.sidecar.leaving());
+    EXPECT_TRUE(fixture.sidecar.isLeaving());
 }
 
 TEST(ResidencyFaults, LostEndpointRefusesWaitingCalls)
--- a/tests/unit/residency_fixture.h
+++ b/tests/unit/residency_fixture.h
@@ -294,7 +294,7 @@
         if (endsAtEngine) {
             engine.end(execution);
         }
-        KeptAnswer answer;
+        CachedAnswer answer;
         answer.outcome = outcome;
         answer.failure = failure;
         answer.status = 200;
--- a/tests/unit/residency_keys_test.cpp
+++ b/tests/unit/residency_keys_test.cpp
@@ -52,7 +52,7 @@
         init.safeguards = safeguards;
         auto &node = nodes[name];
         node.decisions = std::make_unique<SidecarDecisions>(init);
-        kvClients[name] = cluster.client([&node](const KvReply &reply, Now at) {
+        kvClients[name] = cluster.makeClient([&node](const KvReply &reply, Now at) {
             if (!node.paused) {
                 node.decisions->onKvReply(reply, at);
             }
@@ -142,7 +142,7 @@
     }
     void end(Node &node, std::size_t index, CallOutcome outcome, FailureReason failure = FailureReason::None)
     {
-        KeptAnswer answer;
+        CachedAnswer answer;
         answer.outcome = outcome;
         answer.failure = failure;
         answer.status = 200;
@@ -156,7 +156,7 @@
                                      : std::optional(fromWire(node.refusals.back().reason(), RefusalReason::Internal));
     }
 
-    VirtualWorld cluster;
+    VirtualCluster cluster;
     ConfigStore config;
     Random random{1};
     std::map<std::string, Node> nodes;
@@ -264,7 +264,7 @@
     waiting.set_budget_us(120'000'000);
     send(node, waiting);
     ASSERT_EQ(node.started.size(), 1U);
-    cluster.rule = [](const KvRequest &) { return KvFault::Down; };
+    cluster.faultRule = [](const KvRequest &) { return KvFault::Down; };
     run(Seconds(20)); // the lease expires by the sidecar's own clock
     end(node, 0, CallOutcome::Complete);
     EXPECT_EQ(runCounts[key], 0);
@@ -284,7 +284,7 @@
     auto waiting = request(key);
     waiting.set_budget_us(120'000'000);
     send(node, waiting);
-    cluster.rule = [](const KvRequest &) { return KvFault::Down; };
+    cluster.faultRule = [](const KvRequest &) { return KvFault::Down; };
     run(Seconds(20));
     end(node, 0, CallOutcome::Complete);
     EXPECT_EQ(runCounts[key], 1);
@@ -352,7 +352,7 @@
 {
     auto &node = add("desk-1");
     announceMembers();
-    cluster.rule = [](const KvRequest &) { return KvFault::Down; };
+    cluster.faultRule = [](const KvRequest &) { return KvFault::Down; };
     node.decisions->drain(cluster.now());
     run(Seconds(40));
     EXPECT_EQ(node.drained, 1);
--- a/tests/unit/residency_test.cpp
+++ b/tests/unit/residency_test.cpp
@@ -343,7 +343,7 @@
     fixture.call(lounge);
     fixture.answerOrders();
     ASSERT_EQ(fixture.started.size(), 1U);
-    EXPECT_EQ(fixture.started.front().sendBefore, fixture.now.mono + maxSendDelay);
+    EXPECT_EQ(fixture.started.front().sendDeadline, fixture.now.mono + maxSendDelay);
 }
 
 // Guards against exceeding an entry's control budget: load changes are sent as small beats. Changes of residency, drain
--- a/tests/unit/routing_fixture.h
+++ b/tests/unit/routing_fixture.h
@@ -144,7 +144,7 @@
         request.route = service.empty() ? "desk" : "";
         request.service = service;
         request.key = key;
-        request.stream = stream;
+        request.isStreaming = stream;
         request.method = "POST";
         entry->onCall(CallHandle{handle}, request, now);
         collectActions();
--- a/tests/unit/routing_parts_test.cpp
+++ b/tests/unit/routing_parts_test.cpp
@@ -68,13 +68,13 @@
     order.insert(order.end(), extra.begin(), extra.end());
     Random random(*rc::gen::inRange<std::uint64_t>(0, 1000));
     for (std::size_t i = order.size(); i > 1; --i) {
-        std::swap(order[i - 1], order[random.below(i)]);
+        std::swap(order[i - 1], order[random.uniformBelow(i)]);
     }
     AnswerAssembler assembler;
     wire::CallEnd end;
     end.set_frames(count);
     end.set_digest(digest.value());
-    const auto endIndex = random.below(order.size());
+    const auto endIndex = random.uniformBelow(order.size());
     std::string assembled;
     std::size_t dropped = 0;
     for (std::size_t i = 0; i < order.size(); ++i) {
--- a/tests/unit/routing_test.cpp
+++ b/tests/unit/routing_test.cpp
@@ -309,18 +309,18 @@
 private:
     void performStep(std::uint64_t step)
     {
-        switch (random_.below(8)) {
+        switch (random_.uniformBelow(8)) {
         case 0:
         case 1:
-            fixture_.startCall(++calls_, random_.below(3) == 0 ? "count" : "",
-                               random_.below(2) == 0 ? idempotencyKey : "");
+            fixture_.startCall(++calls_, random_.uniformBelow(3) == 0 ? "count" : "",
+                               random_.uniformBelow(2) == 0 ? idempotencyKey : "");
             return;
         case 2:
-            fixture_.advance(Milliseconds(100) * static_cast<int>(random_.below(30)));
+            fixture_.advance(Milliseconds(100) * static_cast<int>(random_.uniformBelow(30)));
             return;
         case 3:
-            fixture_.receiveReport(fixture_.makeReport(std::string(1, static_cast<char>('a' + random_.below(3))), {"1"},
-                                                       1 + random_.below(2) * step / 20));
+            fixture_.receiveReport(fixture_.makeReport(std::string(1, static_cast<char>('a' + random_.uniformBelow(3))),
+                                                       {"1"}, 1 + random_.uniformBelow(2) * step / 20));
             return;
         default:
             sendReply();
@@ -331,12 +331,12 @@
         if (fixture_.sent.empty()) {
             return;
         }
-        const auto index = random_.below(fixture_.sent.size());
+        const auto index = random_.uniformBelow(fixture_.sent.size());
         const auto id = fixture_.attemptId(index);
         const auto sidecar = fixture_.sent[index].sidecar;
         auto &kind = attemptKinds_[{id.call(), id.attempt()}];
         if (kind == AttemptKind::Open) {
-            kind = static_cast<AttemptKind>(1 + random_.below(3));
+            kind = static_cast<AttemptKind>(1 + random_.uniformBelow(3));
         }
         switch (kind) {
         case AttemptKind::Refused:
@@ -353,7 +353,7 @@
     }
     void sendReplyOfRunning(const std::string &sidecar, const wire::AttemptId &id)
     {
-        switch (random_.below(4)) {
+        switch (random_.uniformBelow(4)) {
         case 0:
             fixture_.receiveFrame(sidecar, id, 0, "x");
             return;
--- a/tests/unit/scheduler_test.cpp
+++ b/tests/unit/scheduler_test.cpp
@@ -128,7 +128,7 @@
 TEST(Scheduler, NewHolderWaitsForGrantsOfThePreviousOne)
 {
     SchedulerFixture fixture;
-    fixture.scheduler->onTakeOver(fixture.now);
+    fixture.scheduler->onLeaseAcquired(fixture.now);
     fixture.reportDemand("a", {{"x", 1}});
     EXPECT_TRUE(fixture.grants.empty());
     fixture.advance(Seconds(1));
@@ -234,15 +234,16 @@
     std::size_t grantCount = 0;
     const auto start = fixture.now.mono;
     for (int step = 0; step < 200; ++step) {
-        const auto name = std::string(1, static_cast<char>('a' + random.below(4)));
-        if (random.below(2) == 0) {
-            fixture.reportDemand(name, {{"x" + std::to_string(random.below(9)), 1 + random.below(3)}});
+        const auto name = std::string(1, static_cast<char>('a' + random.uniformBelow(4)));
+        if (random.uniformBelow(2) == 0) {
+            fixture.reportDemand(name, {{"x" + std::to_string(random.uniformBelow(9)), 1 + random.uniformBelow(3)}});
         }
-        if (!inFlight.empty() && random.below(2) == 0) {
-            fixture.reportResult(inFlight.back(), random.below(4) == 0 ? OrderOutcome::Failed : OrderOutcome::Done);
+        if (!inFlight.empty() && random.uniformBelow(2) == 0) {
+            fixture.reportResult(inFlight.back(),
+                                 random.uniformBelow(4) == 0 ? OrderOutcome::Failed : OrderOutcome::Done);
             inFlight.clear();
         }
-        fixture.advance(Milliseconds(static_cast<int>(random.below(200))));
+        fixture.advance(Milliseconds(static_cast<int>(random.uniformBelow(200))));
         for (auto &grant : std::exchange(fixture.grants, {})) {
             RC_ASSERT(inFlight.empty());
             inFlight.push_back(std::move(grant));
--- a/tests/unit/site_dialect_test.cpp
+++ b/tests/unit/site_dialect_test.cpp
@@ -60,16 +60,16 @@
     EXPECT_EQ(info->promptTokens, 1460U);
     ASSERT_EQ(info->parts.size(), 2U);
     EXPECT_EQ(info->parts[0].tokens, 800U);
-    EXPECT_EQ(info->patience, Seconds(5));
+    EXPECT_EQ(info->callerTimeout, Seconds(5));
 }
 
 TEST(SiteCalls, InvalidRequestsAreRejected)
 {
     auto request = makeCallerRequest();
     request.headers[5].second = "soon";
-    EXPECT_EQ(SiteDialect::readCall(request).error(), CallProblem::BadTimeLeft);
+    EXPECT_EQ(SiteDialect::readCall(request).error(), CallParseError::BadTimeLeft);
     request.headers.erase(request.headers.begin() + 1);
-    EXPECT_EQ(SiteDialect::readCall(request).error(), CallProblem::NoRequestId);
+    EXPECT_EQ(SiteDialect::readCall(request).error(), CallParseError::NoRequestId);
 }
 
 // Guards against callers that name a reservation, a cache or an incarnation of others by headers that only the system
@@ -180,7 +180,7 @@
     EXPECT_TRUE(report->busy);
     EXPECT_EQ(report->sequence, 7U);
     EXPECT_EQ(report->running, 12U);
-    EXPECT_EQ(report->born, 0U) << "0 if unknown";
+    EXPECT_EQ(report->startTimeMs, 0U) << "0 if unknown";
     EXPECT_FALSE(report->leaving) << "false if unknown";
     EXPECT_TRUE(SiteDialect::readReport(head, R"({"state":"draining","sequence":0})")->leaving);
     EXPECT_FALSE(SiteDialect::readReport(head, R"({"state":"ready","sequence":0})")->leaving);
@@ -188,7 +188,7 @@
     leavingHead.headers = {{"Server-Leaving", "1"}};
     EXPECT_TRUE(SiteDialect::readReport(leavingHead, R"({"state":"ready","sequence":0})")->leaving);
     EXPECT_FALSE(SiteDialect::readReport(head, R"({"state":7,"sequence":0})")->leaving);
-    EXPECT_EQ(SiteDialect::readReport(head, R"({"born":1767883170666,"sequence":0})")->born, 1767883170666U);
+    EXPECT_EQ(SiteDialect::readReport(head, R"({"born":1767883170666,"sequence":0})")->startTimeMs, 1767883170666U);
     EXPECT_FALSE(SiteDialect::readReport(head, R"({"born":"yesterday","sequence":0})"));
     EXPECT_FALSE(SiteDialect::readReport(head, "[]"));
     EXPECT_FALSE(SiteDialect::readReport(head, R"({"sequence":"many"})"));
@@ -197,8 +197,8 @@
     order.kind = EngineOrderKind::Unload;
     order.model = "daka";
     order.adapter = "a3";
-    order.expected = 7;
-    order.fence = 41;
+    order.expectedSequence = 7;
+    order.fencingNumber = 41;
     order.endpointId = "i-1";
     const auto request = SiteDialect::orderRequest(order, "side-1");
     EXPECT_EQ(request.body, R"({"adapter":"a3","expected":7,"fencing_token":41,"holder":"side-1","model":"daka",)"
@@ -222,20 +222,20 @@
         + version + R"(","revision":7},{"key":"servers/i-2","value":"e30=","revision":8}],"store_revision":9})");
     ASSERT_TRUE(page);
     EXPECT_EQ(page->revision, 9U);
-    EXPECT_EQ(page->rejected, 1U) << "invalid records are removals and counted";
+    EXPECT_EQ(page->rejectedRecords, 1U) << "invalid records are removals and counted";
     ASSERT_EQ(page->records.size(), 4U);
     EXPECT_TRUE(std::get<EndpointRemoved>(page->records[3]).unreadable);
     const auto &record = std::get<EndpointRecord>(page->records[0]);
     EXPECT_EQ(record.id, "i-1");
     EXPECT_EQ(record.dataCentre, "z");
-    EXPECT_EQ(record.created, 4U);
+    EXPECT_EQ(record.createRevision, 4U);
     EXPECT_EQ(record.revision, 5U);
-    EXPECT_EQ(record.born, 1767883170666U);
+    EXPECT_EQ(record.startTimeMs, 1767883170666U);
     EXPECT_TRUE(record.leaving);
     EXPECT_EQ(record.adapters, (std::vector<HeldAdapter>{{"m", "a1", 3}}));
     EXPECT_EQ(std::get<EndpointRemoved>(page->records[1]).id, "i-0");
     EXPECT_EQ(std::get<EndpointRemoved>(page->records[1]).revision, 6U);
-    EXPECT_EQ(std::get<NamedVersion>(page->records[2]).version, 4U);
+    EXPECT_EQ(std::get<PublishedVersion>(page->records[2]).version, 4U);
     EXPECT_FALSE(SiteDialect::readWatch("<html>"));
 }
 
@@ -275,7 +275,7 @@
                                    + R"("},7,)" + R"({"key":"servers/i-2","value":"*"},{"key":"servers/i-3","value":")"
                                    + encodeBase64(validRecord) + R"("}],"store_revision":9})");
         ASSERT_TRUE(page) << invalidRecord;
-        EXPECT_EQ(page->rejected, 3U) << invalidRecord;
+        EXPECT_EQ(page->rejectedRecords, 3U) << invalidRecord;
         ASSERT_EQ(page->records.size(), 3U) << invalidRecord;
         for (const std::size_t i : {0U, 1U}) {
             const auto *removed = std::get_if<EndpointRemoved>(&page->records[i]);
@@ -334,7 +334,7 @@
     ASSERT_EQ(page->records.size(), 1U);
     const auto &read = std::get<CrashReport>(page->records[0]);
     EXPECT_EQ(read.endpointId, report.endpointId);
-    EXPECT_EQ(read.born, report.born);
+    EXPECT_EQ(read.startTimeMs, report.startTimeMs);
     EXPECT_EQ(read.suspects, report.suspects);
 }
 
--- a/tests/unit/state_keys_test.cpp
+++ b/tests/unit/state_keys_test.cpp
@@ -38,9 +38,9 @@
     }
 };
 
-KeptAnswer answerOf(const std::string &body)
+CachedAnswer answerOf(const std::string &body)
 {
-    KeptAnswer answer;
+    CachedAnswer answer;
     answer.outcome = CallOutcome::Complete;
     answer.status = 200;
     answer.body = body;
@@ -52,14 +52,14 @@
     const WallTime time{*rc::gen::inRange<std::int64_t>(0, std::int64_t(1) << 48)};
     Random random(*rc::gen::arbitrary<std::uint64_t>());
     const std::string key = makeKey(time, random);
-    RC_ASSERT(keyTime(key) == time);
+    RC_ASSERT(parseKeyTime(key) == time);
     std::string upper = key;
     std::transform(upper.begin(), upper.end(), upper.begin(), [](unsigned char c) { return std::toupper(c); });
     RC_ASSERT(slotOf(key, 1024) == slotOf(upper, 1024));
     const auto position = *rc::gen::inRange<std::size_t>(0, key.size());
     std::string broken = key;
     broken[position] = 'x';
-    RC_ASSERT(!keyTime(broken));
+    RC_ASSERT(!parseKeyTime(broken));
 }
 
 TEST(SeenKeys, RepeatAttachesThenReplays)
@@ -96,10 +96,10 @@
     }
     const auto refused = keys.admit(keyAt(5), at(5));
     EXPECT_EQ(refused.reason, RefusalReason::KeyTableFull);
-    EXPECT_TRUE(refused.provedNotRun);
+    EXPECT_TRUE(refused.isProvenNotRun);
     EXPECT_LE(keys.seen.answerBytes(), 1000U);
     EXPECT_EQ(keys.admit(first[0], at(6)).kind, KeyDecisionKind::Refuse) << "its answer was dropped to free memory";
-    EXPECT_FALSE(keys.admit(first[0], at(6)).provedNotRun);
+    EXPECT_FALSE(keys.admit(first[0], at(6)).isProvenNotRun);
     EXPECT_EQ(keys.admit(first[3], at(6)).kind, KeyDecisionKind::Replay);
     const auto later = std::chrono::duration_cast<Milliseconds>(keys.service.window).count() + 10;
     EXPECT_EQ(keys.admit(keyAt(later), at(later)).kind, KeyDecisionKind::Run);
@@ -113,11 +113,11 @@
     keys.minKeyTime = WallTime{start + 5000};
     const auto early = keys.admit(keyAt(4999), at(6000));
     EXPECT_EQ(early.reason, RefusalReason::KeyTooOld);
-    EXPECT_FALSE(early.provedNotRun);
+    EXPECT_FALSE(early.isProvenNotRun);
     EXPECT_EQ(keys.admit(keyAt(5000), at(6000)).kind, KeyDecisionKind::Run);
     const auto future = keys.admit(keyAt(7001), at(6000));
     EXPECT_EQ(future.reason, RefusalReason::KeyFromFuture);
-    EXPECT_TRUE(future.provedNotRun);
+    EXPECT_TRUE(future.isProvenNotRun);
     EXPECT_EQ(keys.admit("not-a-key", at(6000)).reason, RefusalReason::KeyInvalid);
     EXPECT_EQ(keys.admit("", at(6000)).reason, RefusalReason::KeyMissing);
 }
@@ -138,7 +138,7 @@
     keys.service.window = std::chrono::minutes(10);
     const auto longer = keys.admit(key, at(62'000));
     EXPECT_EQ(longer.reason, RefusalReason::KeyTooOld);
-    EXPECT_FALSE(longer.provedNotRun);
+    EXPECT_FALSE(longer.isProvenNotRun);
 }
 
 // Under random repeats, completions, releases, handovers and passing time, no key runs twice unless it was released.
--- a/tests/unit/state_lease_test.cpp
+++ b/tests/unit/state_lease_test.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 using test::KvFault;
-using test::VirtualWorld;
+using test::VirtualCluster;
 
 struct Holder
 {
-    Holder(VirtualWorld &world, const std::string &name, std::uint64_t seed)
-        : lease(LeaseKeeper::Init{"/t/scheduler", name, 1, "127.0.0.1:1", Timing(), &world.timers, seed},
-                world.client([this](const KvReply &reply, Now at) {
+    Holder(VirtualCluster &cluster, const std::string &name, std::uint64_t seed)
+        : lease(LeaseHolder::Init{"/t/scheduler", name, 1, "127.0.0.1:1", Timing(), &cluster.timers, seed},
+                cluster.makeClient([this](const KvReply &reply, Now at) {
                     if (!isPaused) {
                         lease.onReply(reply, at);
                     } else {
@@ -24,7 +24,7 @@
                     }
                 }))
     {
-        lease.start(world.now());
+        lease.start(cluster.now());
     }
     void resume(Now now)
     {
@@ -35,22 +35,22 @@
     }
     bool isPaused = false;
     std::vector<KvReply> queuedReplies;
-    LeaseKeeper lease;
+    LeaseHolder lease;
 };
 
 TEST(LeaseHolder, OneHolderAndFenceIncreasesOnTakeover)
 {
-    VirtualWorld world;
-    Holder first(world, "e1", 1);
-    world.run(Seconds(1));
-    Holder second(world, "e2", 2);
-    world.run(Seconds(60));
-    EXPECT_TRUE(first.lease.mayAct(world.now().mono));
-    EXPECT_FALSE(second.lease.mayAct(world.now().mono));
+    VirtualCluster cluster;
+    Holder first(cluster, "e1", 1);
+    cluster.run(Seconds(1));
+    Holder second(cluster, "e2", 2);
+    cluster.run(Seconds(60));
+    EXPECT_TRUE(first.lease.mayAct(cluster.now().mono));
+    EXPECT_FALSE(second.lease.mayAct(cluster.now().mono));
     const auto fence = first.lease.fence();
-    first.lease.stop(world.now());
-    EXPECT_FALSE(first.lease.mayAct(world.now().mono));
-    ASSERT_TRUE(world.runUntil(Seconds(30), [&] { return second.lease.mayAct(world.now().mono); }));
+    first.lease.stop(cluster.now());
+    EXPECT_FALSE(first.lease.mayAct(cluster.now().mono));
+    ASSERT_TRUE(cluster.runUntil(Seconds(30), [&] { return second.lease.mayAct(cluster.now().mono); }));
     EXPECT_GT(second.lease.fence(), fence);
 }
 
@@ -58,56 +58,56 @@
 // queued reply.
 TEST(LeaseHolder, PausedHolderMayNotActAfterResume)
 {
-    VirtualWorld world;
-    Holder first(world, "e1", 1);
-    Holder second(world, "e2", 2);
-    world.run(Seconds(5));
-    ASSERT_TRUE(first.lease.mayAct(world.now().mono));
+    VirtualCluster cluster;
+    Holder first(cluster, "e1", 1);
+    Holder second(cluster, "e2", 2);
+    cluster.run(Seconds(5));
+    ASSERT_TRUE(first.lease.mayAct(cluster.now().mono));
     first.isPaused = true;
-    ASSERT_TRUE(world.runUntil(Seconds(60), [&] { return second.lease.mayAct(world.now().mono); }));
-    EXPECT_FALSE(first.lease.mayAct(world.now().mono));
-    first.resume(world.now());
-    world.run(Seconds(1));
-    EXPECT_FALSE(first.lease.mayAct(world.now().mono));
+    ASSERT_TRUE(cluster.runUntil(Seconds(60), [&] { return second.lease.mayAct(cluster.now().mono); }));
+    EXPECT_FALSE(first.lease.mayAct(cluster.now().mono));
+    first.resume(cluster.now());
+    cluster.run(Seconds(1));
+    EXPECT_FALSE(first.lease.mayAct(cluster.now().mono));
 }
 
 // A write that took effect without a reply must be read back; repeated blindly it would conflict with the holder's own
 // key forever.
 TEST(LeaseHolder, LostAcquisitionReplyIsReadBack)
 {
-    VirtualWorld world;
+    VirtualCluster cluster;
     int writes = 0;
-    world.rule = [&](const KvRequest &request) {
+    cluster.faultRule = [&](const KvRequest &request) {
         return request.op == KvOp::Txn && writes++ == 0 ? KvFault::LostReply : KvFault::None;
     };
-    Holder holder(world, "e1", 1);
-    ASSERT_TRUE(world.runUntil(Seconds(2), [&] { return holder.lease.mayAct(world.now().mono); }));
+    Holder holder(cluster, "e1", 1);
+    ASSERT_TRUE(cluster.runUntil(Seconds(2), [&] { return holder.lease.mayAct(cluster.now().mono); }));
     EXPECT_EQ(writes, 1);
-    EXPECT_EQ(static_cast<std::int64_t>(holder.lease.fence()), world.kv.find("/t/scheduler")->modRevision);
+    EXPECT_EQ(static_cast<std::int64_t>(holder.lease.fence()), cluster.kv.find("/t/scheduler")->modRevision);
 }
 
 RC_GTEST_PROP(LeaseHolder, NeverTwoHoldersUnderFaults, ())
 {
-    VirtualWorld world;
+    VirtualCluster cluster;
     Random random(*rc::gen::arbitrary<std::uint64_t>());
     std::uint64_t faultPercent = 0;
-    world.rule = [&](const KvRequest &) {
+    cluster.faultRule = [&](const KvRequest &) {
         const std::array faults{KvFault::Down, KvFault::LostRequest, KvFault::LostReply};
-        return random.below(100) < faultPercent ? faults[random.below(faults.size())] : KvFault::None;
+        return random.uniformBelow(100) < faultPercent ? faults[random.uniformBelow(faults.size())] : KvFault::None;
     };
-    Holder first(world, "e1", random.next());
-    Holder second(world, "e2", random.next());
+    Holder first(cluster, "e1", random.next());
+    Holder second(cluster, "e2", random.next());
     std::uint64_t maxFence = 0;
     const int steps = *rc::gen::inRange(1, 100);
     for (int step = 0; step < steps; ++step) {
         faultPercent = *rc::gen::element<std::uint64_t>(0, 20, 60, 100);
         first.isPaused = *rc::gen::inRange(0, 4) == 0;
         if (!first.isPaused) {
-            first.resume(world.now());
+            first.resume(cluster.now());
         }
-        world.run(Milliseconds(*rc::gen::inRange(1, 8000)));
-        const bool one = first.lease.mayAct(world.now().mono);
-        const bool two = second.lease.mayAct(world.now().mono);
+        cluster.run(Milliseconds(*rc::gen::inRange(1, 8000)));
+        const bool one = first.lease.mayAct(cluster.now().mono);
+        const bool two = second.lease.mayAct(cluster.now().mono);
         RC_ASSERT(!(one && two));
         if (one || two) {
             const auto fence = one ? first.lease.fence() : second.lease.fence();
@@ -121,32 +121,32 @@
 // second.
 TEST(LeaseHolder, NoThunderingHerdAfterOutage)
 {
-    VirtualWorld world;
+    VirtualCluster cluster;
     std::vector<std::unique_ptr<Holder>> holders;
     holders.reserve(400);
     for (int i = 0; i < 400; ++i) {
-        holders.push_back(std::make_unique<Holder>(world, "e" + std::to_string(i), 7 + i));
+        holders.push_back(std::make_unique<Holder>(cluster, "e" + std::to_string(i), 7 + i));
     }
-    world.run(Seconds(30));
-    world.rule = [](const KvRequest &) { return KvFault::Down; };
-    world.run(Seconds(120));
-    world.rule = nullptr;
-    world.requests = 0;
-    world.run(Seconds(1));
-    EXPECT_LT(world.requests, 200U);
+    cluster.run(Seconds(30));
+    cluster.faultRule = [](const KvRequest &) { return KvFault::Down; };
+    cluster.run(Seconds(120));
+    cluster.faultRule = nullptr;
+    cluster.requests = 0;
+    cluster.run(Seconds(1));
+    EXPECT_LT(cluster.requests, 200U);
 }
 
 struct WatchedRange
 {
-    explicit WatchedRange(VirtualWorld &world)
-        : watcher(KeyFollower::Init{"/t/k/", "/t/k0", &world.timers, Seconds(2), 3},
-                  world.client([this](const KvReply &reply, Now at) { watcher.onReply(reply, at); }),
+    explicit WatchedRange(VirtualCluster &cluster)
+        : watcher(KeyWatcher::Init{"/t/k/", "/t/k0", &cluster.timers, Seconds(2), 3},
+                  cluster.makeClient([this](const KvReply &reply, Now at) { watcher.onReply(reply, at); }),
                   [this](const std::vector<KvEntry> &entries, bool full, Now) {
                       if (full) {
                           seen.clear();
                       }
                       for (const auto &entry : entries) {
-                          if (entry.deleted) {
+                          if (entry.isDeleted) {
                               seen.erase(entry.key);
                           } else {
                               seen[entry.key] = entry.value;
@@ -156,22 +156,22 @@
     {
     }
     std::map<std::string, std::string> seen;
-    KeyFollower watcher;
+    KeyWatcher watcher;
 };
 
 // Under broken watches, compaction and lost replies, the watched state must converge to that of the service without
 // missing changes.
 RC_GTEST_PROP(KeyWatcher, ConvergesToServiceState, ())
 {
-    VirtualWorld world;
+    VirtualCluster cluster;
     Random random(*rc::gen::arbitrary<std::uint64_t>());
     std::uint64_t faultPercent = 0;
-    world.rule = [&](const KvRequest &request) {
-        return request.op != KvOp::Txn && random.below(100) < faultPercent ? KvFault::Down : KvFault::None;
+    cluster.faultRule = [&](const KvRequest &request) {
+        return request.op != KvOp::Txn && random.uniformBelow(100) < faultPercent ? KvFault::Down : KvFault::None;
     };
-    WatchedRange watchedRange(world);
-    watchedRange.watcher.start(world.now());
-    auto writer = world.client([](const KvReply &, Now) {});
+    WatchedRange watchedRange(cluster);
+    watchedRange.watcher.start(cluster.now());
+    auto writer = cluster.makeClient([](const KvReply &, Now) {});
     std::map<std::string, std::string> expected;
     const int steps = *rc::gen::inRange(1, 60);
     for (int step = 0; step < steps; ++step) {
@@ -189,14 +189,14 @@
         writer(request);
         const int fault = *rc::gen::inRange(0, 6);
         if (fault == 0) {
-            world.kv.breakWatches();
+            cluster.kv.breakWatches();
         } else if (fault == 1) {
-            world.kv.compactHistory();
+            cluster.kv.compactHistory();
         }
-        world.run(Milliseconds(*rc::gen::inRange(0, 1500)));
+        cluster.run(Milliseconds(*rc::gen::inRange(0, 1500)));
     }
     faultPercent = 0;
-    world.run(Seconds(10));
+    cluster.run(Seconds(10));
     RC_ASSERT(watchedRange.seen == expected);
 }
 
--- a/tests/unit/state_slots_test.cpp
+++ b/tests/unit/state_slots_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 using test::KvFault;
-using test::VirtualWorld;
+using test::VirtualCluster;
 
 constexpr std::uint32_t slotCount = 64;
 constexpr std::int64_t marginMs = 4000;
@@ -53,7 +53,7 @@
 
 struct Group
 {
-    VirtualWorld world;
+    VirtualCluster cluster;
     std::unique_ptr<ConfigStore> config = makeConfig();
     std::map<std::string, std::unique_ptr<Sidecar>> sidecars;
     std::vector<std::unique_ptr<Sidecar>> removedSidecars; // kept alive for replies still in flight
@@ -63,7 +63,7 @@
     {
         removedSidecars.push_back(std::move(sidecars[name]));
         sidecars[name] = std::make_unique<Sidecar>(*this, name, incarnation);
-        sidecars[name]->owner->start(world.now());
+        sidecars[name]->owner->start(cluster.now());
         return *sidecars[name];
     }
     void announceMembers()
@@ -75,12 +75,12 @@
             }
         }
         for (const auto &[name, sidecar] : sidecars) {
-            sidecar->owner->onMembers(names, world.now());
+            sidecar->owner->onMembers(names, cluster.now());
         }
     }
     void deliver(const std::string &to, const wire::Envelope &envelope)
     {
-        world.later(Milliseconds(1), [this, to, envelope](Now at) {
+        cluster.later(Milliseconds(1), [this, to, envelope](Now at) {
             const auto found = sidecars.find(to);
             if (found == sidecars.end() || found->second->isCrashed || dropsHandovers) {
                 return;
@@ -97,7 +97,7 @@
     {
         std::vector<Sidecar *> owners;
         for (const auto &[name, sidecar] : sidecars) {
-            if (sidecar->owner->owns(slot, world.now()).owned) {
+            if (sidecar->owner->owns(slot, cluster.now()).isOwned) {
                 owners.push_back(sidecar.get());
             }
         }
@@ -124,7 +124,7 @@
     init.self = name;
     init.incarnation = incarnation;
     init.config = group.config.get();
-    init.timers = &group.world.timers;
+    init.timers = &group.cluster.timers;
     init.seed = hash64(name) + incarnation;
     init.seen = &seen;
     init.send = [this](const std::string &to, const wire::Envelope &envelope) {
@@ -132,14 +132,14 @@
             group.deliver(to, envelope);
         }
     };
-    auto client = group.world.client([this](const KvReply &reply, Now at) { onReply(reply, at); });
+    auto client = group.cluster.makeClient([this](const KvReply &reply, Now at) { onReply(reply, at); });
     owner =
         std::make_unique<SlotOwner>(init, [this, client](KvRequest request) { submit(client, std::move(request)); });
 }
 
 void Sidecar::onReply(KvReply reply, Now at)
 {
-    if (isDisconnected && reply.event) {
+    if (isDisconnected && reply.isEvent) {
         interruptedWatches.push_back(reply.id);
         return;
     }
@@ -163,7 +163,7 @@
         KvReply reply;
         reply.id = request.id;
         reply.status = KvStatus::Unavailable;
-        group.world.later(Milliseconds(1), [this, reply](Now at) { onReply(reply, at); });
+        group.cluster.later(Milliseconds(1), [this, reply](Now at) { onReply(reply, at); });
         return;
     }
     to(std::move(request));
@@ -176,7 +176,7 @@
         KvReply reply;
         reply.id = id;
         reply.status = KvStatus::Unavailable;
-        onReply(reply, group.world.now());
+        onReply(reply, group.cluster.now());
     }
 }
 
@@ -187,7 +187,7 @@
         group.add(name);
     }
     group.announceMembers();
-    ASSERT_TRUE(group.world.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
+    ASSERT_TRUE(group.cluster.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
     for (const auto &[name, sidecar] : group.sidecars) {
         EXPECT_NEAR(static_cast<double>(sidecar->owner->slots().size()), slotCount / 3.0, 2.0) << name;
     }
@@ -201,20 +201,21 @@
     auto &a = group.add("a");
     group.add("b");
     group.announceMembers();
-    ASSERT_TRUE(group.world.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
+    ASSERT_TRUE(group.cluster.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
     const auto slot = a.owner->slots().front();
-    const auto fence = a.owner->owns(slot, group.world.now()).fence;
+    const auto fence = a.owner->owns(slot, group.cluster.now()).fence;
     a.isCrashed = true;
     group.announceMembers();
-    group.world.run(Seconds(6));
-    const auto before = group.sidecars["b"]->owner->owns(slot, group.world.now());
-    EXPECT_FALSE(before.owned) << "the lease of the crashed sidecar may still be valid";
+    group.cluster.run(Seconds(6));
+    const auto before = group.sidecars["b"]->owner->owns(slot, group.cluster.now());
+    EXPECT_FALSE(before.isOwned) << "the lease of the crashed sidecar may still be valid";
     auto &successor = *group.sidecars["b"]->owner;
-    ASSERT_TRUE(group.world.runUntil(Seconds(60), [&] { return successor.slots().size() == slotCount; }));
-    const auto after = successor.owns(slot, group.world.now());
-    EXPECT_TRUE(after.owned);
+    ASSERT_TRUE(group.cluster.runUntil(Seconds(60), [&] { return successor.slots().size() == slotCount; }));
+    const auto after = successor.owns(slot, group.cluster.now());
+    EXPECT_TRUE(after.isOwned);
     EXPECT_GT(after.fence, fence);
-    EXPECT_NEAR(static_cast<double>(after.takenAt.ms), static_cast<double>(group.world.now().wall.ms + marginMs), 20.0);
+    EXPECT_NEAR(static_cast<double>(after.minKeyTime.ms), static_cast<double>(group.cluster.now().wall.ms + marginMs),
+                20.0);
 }
 
 // A drain must transfer the keys before the table names the new owner, so that a repeat gets the first answer.
@@ -224,29 +225,29 @@
     auto &a = group.add("a");
     auto &b = group.add("b");
     group.announceMembers();
-    ASSERT_TRUE(group.world.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
+    ASSERT_TRUE(group.cluster.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
     const auto service = *group.config->service("admission");
     Random random(5);
-    group.world.run(Seconds(20));
+    group.cluster.run(Seconds(20));
     std::string key;
     do {
-        key = makeKey(group.world.now().wall, random);
-    } while (!a.owner->owns(slotOf(key, slotCount), group.world.now()).owned);
+        key = makeKey(group.cluster.now().wall, random);
+    } while (!a.owner->owns(slotOf(key, slotCount), group.cluster.now()).isOwned);
     const auto slot = slotOf(key, slotCount);
-    const auto minKeyTime = a.owner->owns(slot, group.world.now()).takenAt;
-    ASSERT_EQ(a.seen.admit(key, 1, service, minKeyTime, ExecutionHandle{1}, group.world.now()).kind,
+    const auto minKeyTime = a.owner->owns(slot, group.cluster.now()).minKeyTime;
+    ASSERT_EQ(a.seen.admit(key, 1, service, minKeyTime, ExecutionHandle{1}, group.cluster.now()).kind,
               KeyDecisionKind::Run);
-    KeptAnswer answer;
+    CachedAnswer answer;
     answer.outcome = CallOutcome::Complete;
     answer.body = "admitted";
-    a.seen.finish(key, answer, group.world.now());
-    a.owner->drain(group.world.now());
-    ASSERT_TRUE(group.world.runUntil(Seconds(10), [&] { return a.owner->drained(); }));
-    group.world.run(Milliseconds(100));
+    a.seen.finish(key, answer, group.cluster.now());
+    a.owner->drain(group.cluster.now());
+    ASSERT_TRUE(group.cluster.runUntil(Seconds(10), [&] { return a.owner->isDrained(); }));
+    group.cluster.run(Milliseconds(100));
     EXPECT_TRUE(group.allOwnedOnce());
-    const auto owned = b.owner->owns(slot, group.world.now());
-    EXPECT_EQ(owned.takenAt, minKeyTime) << "the key window is preserved";
-    const auto repeat = b.seen.admit(key, 1, service, owned.takenAt, ExecutionHandle{2}, group.world.now());
+    const auto owned = b.owner->owns(slot, group.cluster.now());
+    EXPECT_EQ(owned.minKeyTime, minKeyTime) << "the key window is preserved";
+    const auto repeat = b.seen.admit(key, 1, service, owned.minKeyTime, ExecutionHandle{2}, group.cluster.now());
     ASSERT_EQ(repeat.kind, KeyDecisionKind::Replay);
     EXPECT_EQ(repeat.answer->body, "admitted");
 }
@@ -257,11 +258,11 @@
     auto &a = group.add("a");
     group.add("b");
     group.announceMembers();
-    ASSERT_TRUE(group.world.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
+    ASSERT_TRUE(group.cluster.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
     group.dropsHandovers = true;
-    a.owner->drain(group.world.now());
+    a.owner->drain(group.cluster.now());
     a.isCrashed = false;
-    EXPECT_TRUE(group.world.runUntil(Seconds(20), [&] { return a.owner->drained(); }));
+    EXPECT_TRUE(group.cluster.runUntil(Seconds(20), [&] { return a.owner->isDrained(); }));
 }
 
 TEST(SlotOwner, NewMemberReceivesShareByHandover)
@@ -269,13 +270,13 @@
     Group group;
     auto &a = group.add("a");
     group.announceMembers();
-    ASSERT_TRUE(group.world.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
+    ASSERT_TRUE(group.cluster.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
     auto &b = group.add("b");
     group.announceMembers();
-    EXPECT_TRUE(group.world.runUntil(Seconds(40), [&] {
+    EXPECT_TRUE(group.cluster.runUntil(Seconds(40), [&] {
         return a.owner->slots().size() <= slotCount / 2 + 2 && b.owner->slots().size() >= slotCount / 2 - 2;
     }));
-    EXPECT_TRUE(group.world.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
+    EXPECT_TRUE(group.cluster.runUntil(Seconds(5), [&] { return group.allOwnedOnce(); }));
 }
 
 // Guards against a key that runs twice after a takeover, and against two owners of a slot, under lost requests, lost
@@ -285,17 +286,17 @@
     Group group;
     Random random(*rc::gen::arbitrary<std::uint64_t>());
     int faultRate = 0;
-    group.world.rule = [&](const KvRequest &) {
-        if (static_cast<int>(random.below(100)) >= faultRate) {
+    group.cluster.faultRule = [&](const KvRequest &) {
+        if (static_cast<int>(random.uniformBelow(100)) >= faultRate) {
             return KvFault::None;
         }
-        return std::array{KvFault::Down, KvFault::LostRequest, KvFault::LostReply}[random.below(3)];
+        return std::array{KvFault::Down, KvFault::LostRequest, KvFault::LostReply}[random.uniformBelow(3)];
     };
     for (const char *name : {"a", "b", "c"}) {
         group.add(name);
     }
     group.announceMembers();
-    group.world.run(Seconds(15));
+    group.cluster.run(Seconds(15));
     const auto service = *group.config->service("admission");
     std::vector<std::string> keys;
     std::map<std::string, int> admitted;
@@ -311,28 +312,28 @@
             group.add(name, ++incarnation);
             group.announceMembers();
         } else if (action == 2) {
-            group.sidecars[name]->owner->drain(group.world.now());
+            group.sidecars[name]->owner->drain(group.cluster.now());
         } else if (action == 3) {
             faultRate = *rc::gen::element(0, 10, 50, 100);
         } else if (action == 4) {
-            group.world.kv.breakWatches();
+            group.cluster.kv.breakWatches();
         } else if (action == 5) {
             group.sidecars[name]->isDisconnected = true;
         } else if (action == 6) {
             group.sidecars[name]->reconnect();
         }
-        group.world.run(Milliseconds(*rc::gen::inRange(1, 6000)));
+        group.cluster.run(Milliseconds(*rc::gen::inRange(1, 6000)));
         for (std::uint32_t slot = 0; slot < slotCount; ++slot) {
             RC_ASSERT(group.ownersOf(slot).size() <= 1);
         }
         // Stamps reach as far ahead as the skew allows, which the margin has to cover.
-        keys.push_back(makeKey(WallTime{group.world.now().wall.ms + *rc::gen::inRange(-4000, 1000)}, random));
+        keys.push_back(makeKey(WallTime{group.cluster.now().wall.ms + *rc::gen::inRange(-4000, 1000)}, random));
         for (std::size_t i = keys.size() > 12 ? keys.size() - 12 : 0; i < keys.size(); ++i) {
             const auto slot = slotOf(keys[i], slotCount);
             for (auto *owner : group.ownersOf(slot)) {
-                const auto owned = owner->owner->owns(slot, group.world.now());
+                const auto owned = owner->owner->owns(slot, group.cluster.now());
                 const auto decision =
-                    owner->seen.admit(keys[i], 1, service, owned.takenAt, ExecutionHandle{1}, group.world.now());
+                    owner->seen.admit(keys[i], 1, service, owned.minKeyTime, ExecutionHandle{1}, group.cluster.now());
                 if (decision.kind == KeyDecisionKind::Run) {
                     RC_ASSERT(++admitted[keys[i]] == 1);
                 }
--- a/tests/unit/state_spread_test.cpp
+++ b/tests/unit/state_spread_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using test::KvFault;
-using test::VirtualWorld;
+using test::VirtualCluster;
 
 config::Change adapter(int number, const std::string &version = "v1")
 {
@@ -22,10 +22,10 @@
 
 struct Operator
 {
-    Operator(VirtualWorld &in, const std::string &name, std::uint32_t schemaVersionOfAll = 0)
-        : world(in)
+    Operator(VirtualCluster &in, const std::string &name, std::uint32_t schemaVersionOfAll = 0)
+        : cluster(in)
         , writer(ConfigWriter::Init{"/t/", name, schemaVersionOfAll, 20, 2000, &store, &in.timers, hash64(name)},
-                 in.client([this](const KvReply &reply, Now at) { writer.onReply(reply, at); }),
+                 in.makeClient([this](const KvReply &reply, Now at) { writer.onReply(reply, at); }),
                  [this](const ConfigWriter::Result &outcome, Now) { result = outcome; })
     {
     }
@@ -33,11 +33,11 @@
                     std::optional<std::uint64_t> expected = std::nullopt)
     {
         result.reset();
-        writer.apply(std::move(changes), id, expected, world.now());
+        writer.apply(std::move(changes), id, expected, cluster.now());
     }
     ConfigWriter::Result awaitResult()
     {
-        EXPECT_TRUE(world.runUntil(Seconds(60), [this] { return result.has_value(); }));
+        EXPECT_TRUE(cluster.runUntil(Seconds(60), [this] { return result.has_value(); }));
         return *result;
     }
     ConfigWriter::Result apply(std::vector<config::Change> changes, const std::string &id)
@@ -45,7 +45,7 @@
         startApply(std::move(changes), id);
         return awaitResult();
     }
-    VirtualWorld &world;
+    VirtualCluster &cluster;
     ConfigStore store;
     std::optional<ConfigWriter::Result> result;
     ConfigWriter writer;
@@ -55,7 +55,7 @@
 
 struct Cluster
 {
-    VirtualWorld world;
+    VirtualCluster cluster;
     std::map<std::string, std::unique_ptr<Process>> processes;
 
     Process &add(const std::string &name, bool mayWatch);
@@ -67,23 +67,23 @@
 {
     Process(Cluster &cluster, const std::string &name, bool mayWatch)
     {
-        ConfigSpread::Init init;
+        ConfigDistributor::Init init;
         init.self = name;
         init.incarnation = 1;
         init.dataCentre = "hall-east";
         init.keyPrefix = "/t/";
         init.mayWatch = mayWatch;
         init.store = &store;
-        init.timers = &cluster.world.timers;
+        init.timers = &cluster.cluster.timers;
         init.seed = hash64(name);
-        ConfigSpread::Callbacks callbacks;
-        callbacks.submit = cluster.world.client([this](const KvReply &reply, Now at) {
+        ConfigDistributor::Callbacks callbacks;
+        callbacks.submit = cluster.cluster.makeClient([this](const KvReply &reply, Now at) {
             distributor->onReply(reply, at);
             maxRevision = std::max(maxRevision, store.revision());
             hasReverted = hasReverted || store.revision() < maxRevision;
         });
         callbacks.sendToPeer = [&cluster, name](const std::string &to, const wire::Envelope &envelope) {
-            cluster.world.later(Milliseconds(1), [&cluster, name, to, envelope](Now at) {
+            cluster.cluster.later(Milliseconds(1), [&cluster, name, to, envelope](Now at) {
                 auto &peer = *cluster.processes.at(to);
                 if (peer.isDisconnected) {
                     return;
@@ -96,10 +96,10 @@
             });
         };
         callbacks.changed = [this](Now) { ++changes; };
-        distributor = std::make_unique<ConfigSpread>(init, callbacks);
+        distributor = std::make_unique<ConfigDistributor>(init, callbacks);
     }
     ConfigStore store;
-    std::unique_ptr<ConfigSpread> distributor;
+    std::unique_ptr<ConfigDistributor> distributor;
     std::uint64_t changes = 0;
     std::uint64_t maxRevision = 0;
     bool hasReverted = false;
@@ -109,7 +109,7 @@
 Process &Cluster::add(const std::string &name, bool mayWatch)
 {
     auto &process = processes[name] = std::make_unique<Process>(*this, name, mayWatch);
-    process->distributor->start(world.now());
+    process->distributor->start(cluster.now());
     return *process;
 }
 
@@ -122,12 +122,12 @@
 /// Delivers every process's revision and age to all others twice a second, as heartbeats do.
 void Cluster::exchangeHeartbeats()
 {
-    world.later(Milliseconds(500), [this](Now at) {
+    cluster.later(Milliseconds(500), [this](Now at) {
         for (const auto &[name, process] : processes) {
             for (const auto &[other, peer] : processes) {
                 if (name != other && !peer->isDisconnected && !process->isDisconnected) {
                     peer->distributor->onPeerRevision(name, process->store.revision(), process->store.digest(), at,
-                                                      process->distributor->age(at.mono));
+                                                      process->distributor->confirmationAge(at.mono));
                 }
             }
         }
@@ -137,9 +137,9 @@
 
 TEST(ConfigWriter, ConcurrentOperatorsGetConflictWithRevision)
 {
-    VirtualWorld world;
-    Operator first(world, "one");
-    Operator second(world, "two");
+    VirtualCluster cluster;
+    Operator first(cluster, "one");
+    Operator second(cluster, "two");
     first.startApply({adapter(1)}, "change-1");
     second.startApply({adapter(2)}, "change-2");
     const auto one = first.awaitResult();
@@ -159,24 +159,24 @@
 // A change whose reply is lost must be read back by its change id: reported as failed, it would be made a second time.
 TEST(ConfigWriter, LostReplyIsReadBackAndAppliedOnce)
 {
-    VirtualWorld world;
+    VirtualCluster cluster;
     int writes = 0;
-    world.rule = [&](const KvRequest &request) {
+    cluster.faultRule = [&](const KvRequest &request) {
         return request.op == KvOp::Txn && ++writes == 1 ? KvFault::LostReply : KvFault::None;
     };
-    Operator writer(world, "one");
+    Operator writer(cluster, "one");
     const auto made = writer.apply({adapter(1)}, "change-1");
     ASSERT_TRUE(made);
     EXPECT_EQ(*made, 1U);
     EXPECT_EQ(writes, 1);
     writes = 5;
-    world.rule = [](const KvRequest &request) {
+    cluster.faultRule = [](const KvRequest &request) {
         return request.op == KvOp::Txn ? KvFault::LostRequest : KvFault::None;
     };
     const auto lost = writer.apply({adapter(2)}, "change-2");
     ASSERT_FALSE(lost);
     EXPECT_EQ(lost.error().kind, ConfigErrorKind::OutcomeUnknown);
-    world.rule = [](const KvRequest &) { return KvFault::Down; };
+    cluster.faultRule = [](const KvRequest &) { return KvFault::Down; };
     const auto down = writer.apply({adapter(2)}, "change-3");
     ASSERT_FALSE(down);
     EXPECT_EQ(down.error().kind, ConfigErrorKind::Unavailable);
@@ -184,8 +184,8 @@
 
 TEST(ConfigWriter, RejectsRecordUnreadableForLiveProcess)
 {
-    VirtualWorld world;
-    Operator writer(world, "one", 1);
+    VirtualCluster cluster;
+    Operator writer(cluster, "one", 1);
     const auto refused =
         writer.apply({*parseRecord(R"({"schemaVersion":2,"name":"p","service":{"idempotent":true}})")}, "change-1");
     ASSERT_FALSE(refused);
@@ -195,19 +195,19 @@
 
 TEST(ConfigWriter, CompactionBoundsHistoryForNewReaders)
 {
-    VirtualWorld world;
-    Operator writer(world, "one");
+    VirtualCluster cluster;
+    Operator writer(cluster, "one");
     for (int i = 0; i < 50; ++i) {
         ASSERT_TRUE(writer.apply({adapter(i)}, "change-" + std::to_string(i)));
         writer.result.reset();
-        writer.writer.compact(world.now());
+        writer.writer.compact(cluster.now());
         ASSERT_TRUE(writer.awaitResult());
     }
-    EXPECT_EQ(world.kv.find("/t/config/delta/00000000000000000010"), nullptr);
-    EXPECT_NE(world.kv.find("/t/config/delta/00000000000000000050"), nullptr);
-    EXPECT_EQ(world.kv.find("/t/config/snapshot/00000000000000000020/00000"), nullptr);
-    EXPECT_NE(world.kv.find("/t/config/snapshot/00000000000000000040/00001"), nullptr);
-    Operator newcomer(world, "two");
+    EXPECT_EQ(cluster.kv.find("/t/config/delta/00000000000000000010"), nullptr);
+    EXPECT_NE(cluster.kv.find("/t/config/delta/00000000000000000050"), nullptr);
+    EXPECT_EQ(cluster.kv.find("/t/config/snapshot/00000000000000000020/00000"), nullptr);
+    EXPECT_NE(cluster.kv.find("/t/config/snapshot/00000000000000000040/00001"), nullptr);
+    Operator newcomer(cluster, "two");
     ASSERT_TRUE(newcomer.apply({adapter(99)}, "change-new"));
     EXPECT_EQ(newcomer.store.adapterCount(), 51U);
 }
@@ -222,25 +222,25 @@
         cluster.add("sidecar-" + std::to_string(i), false);
     }
     cluster.exchangeHeartbeats();
-    cluster.world.run(Seconds(10));
-    Operator writer(cluster.world, "one");
+    cluster.cluster.run(Seconds(10));
+    Operator writer(cluster.cluster, "one");
     ASSERT_TRUE(writer.apply({adapter(1)}, "change-1"));
-    const TimePoint accepted = cluster.world.now().mono;
-    ASSERT_TRUE(cluster.world.runUntil(Seconds(12), [&] { return cluster.areAllAt(1); }));
-    EXPECT_LT(cluster.world.now().mono - accepted, Seconds(2));
+    const TimePoint accepted = cluster.cluster.now().mono;
+    ASSERT_TRUE(cluster.cluster.runUntil(Seconds(12), [&] { return cluster.areAllAt(1); }));
+    EXPECT_LT(cluster.cluster.now().mono - accepted, Seconds(2));
     int watching = 0;
     for (const auto &[name, process] : cluster.processes) {
-        watching += process->distributor->watching() ? 1 : 0;
+        watching += process->distributor->isWatching() ? 1 : 0;
     }
     EXPECT_LE(watching, 2);
     EXPECT_GE(watching, 1);
     // When idle, no process becomes stale, and only watchers and candidates read from the service.
-    cluster.world.run(Seconds(60));
-    cluster.world.requests = 0;
-    cluster.world.run(Seconds(60));
-    EXPECT_LT(static_cast<double>(cluster.world.requests) / 60, 4.0);
+    cluster.cluster.run(Seconds(60));
+    cluster.cluster.requests = 0;
+    cluster.cluster.run(Seconds(60));
+    EXPECT_LT(static_cast<double>(cluster.cluster.requests) / 60, 4.0);
     for (const auto &[name, process] : cluster.processes) {
-        EXPECT_FALSE(process->distributor->stale()) << name;
+        EXPECT_FALSE(process->distributor->isStale()) << name;
     }
 }
 
@@ -250,25 +250,25 @@
 {
     Cluster cluster;
     auto &old = cluster.add("entry-0", true);
-    Operator writer(cluster.world, "one");
+    Operator writer(cluster.cluster, "one");
     for (int i = 0; i < 600; ++i) {
         ASSERT_TRUE(writer.apply({adapter(i)}, "change-" + std::to_string(i)));
     }
-    ASSERT_TRUE(cluster.world.runUntil(Seconds(20), [&] { return old.store.revision() == 600; }));
-    cluster.world.rule = [](const KvRequest &) { return KvFault::Down; };
+    ASSERT_TRUE(cluster.cluster.runUntil(Seconds(20), [&] { return old.store.revision() == 600; }));
+    cluster.cluster.faultRule = [](const KvRequest &) { return KvFault::Down; };
     auto &fresh = cluster.add("entry-1", true);
-    cluster.world.run(Seconds(1));
-    EXPECT_TRUE(fresh.distributor->empty());
-    EXPECT_TRUE(fresh.distributor->stale());
+    cluster.cluster.run(Seconds(1));
+    EXPECT_TRUE(fresh.distributor->isEmpty());
+    EXPECT_TRUE(fresh.distributor->isStale());
     cluster.exchangeHeartbeats();
-    ASSERT_TRUE(cluster.world.runUntil(Seconds(10), [&] { return fresh.store.revision() == 600; }));
+    ASSERT_TRUE(cluster.cluster.runUntil(Seconds(10), [&] { return fresh.store.revision() == 600; }));
     EXPECT_EQ(fresh.store.digest(), old.store.digest());
-    cluster.world.run(Seconds(60));
-    EXPECT_TRUE(old.distributor->stale());
-    EXPECT_TRUE(fresh.distributor->stale()) << "peers cannot confirm one another";
-    cluster.world.rule = nullptr;
-    EXPECT_TRUE(
-        cluster.world.runUntil(Seconds(60), [&] { return !old.distributor->stale() && !fresh.distributor->stale(); }));
+    cluster.cluster.run(Seconds(60));
+    EXPECT_TRUE(old.distributor->isStale());
+    EXPECT_TRUE(fresh.distributor->isStale()) << "peers cannot confirm one another";
+    cluster.cluster.faultRule = nullptr;
+    EXPECT_TRUE(cluster.cluster.runUntil(Seconds(60),
+                                         [&] { return !old.distributor->isStale() && !fresh.distributor->isStale(); }));
 }
 
 // Under random faults no store may go back or diverge, and all must reach the head afterwards.
@@ -277,16 +277,16 @@
     Cluster cluster;
     Random random(*rc::gen::arbitrary<std::uint64_t>());
     std::uint64_t faultPercent = 0;
-    cluster.world.rule = [&](const KvRequest &) {
+    cluster.cluster.faultRule = [&](const KvRequest &) {
         const std::array faults{KvFault::Down, KvFault::LostRequest, KvFault::LostReply};
-        return random.below(100) < faultPercent ? faults[random.below(faults.size())] : KvFault::None;
+        return random.uniformBelow(100) < faultPercent ? faults[random.uniformBelow(faults.size())] : KvFault::None;
     };
     for (const char *name : {"e0", "e1", "s0", "s1"}) {
         cluster.add(name, name[0] == 'e');
     }
     cluster.exchangeHeartbeats();
-    Operator writer(cluster.world, "one");
-    Operator rival(cluster.world, "two");
+    Operator writer(cluster.cluster, "one");
+    Operator rival(cluster.cluster, "two");
     std::uint64_t accepted = 0;
     const int steps = *rc::gen::inRange(1, 30);
     for (int step = 0; step < steps; ++step) {
@@ -297,7 +297,7 @@
         const auto one = writer.awaitResult();
         const auto two = rival.awaitResult();
         accepted += (one ? 1 : 0) + (two ? 1 : 0);
-        cluster.world.run(Milliseconds(*rc::gen::inRange(1, 9000)));
+        cluster.cluster.run(Milliseconds(*rc::gen::inRange(1, 9000)));
     }
     faultPercent = 0;
     cluster.processes["s0"]->isDisconnected = false;
@@ -305,7 +305,7 @@
     ++accepted;
     const auto head = writer.store.revision();
     RC_ASSERT(head >= accepted);
-    RC_ASSERT(cluster.world.runUntil(Seconds(90), [&] { return cluster.areAllAt(head); }));
+    RC_ASSERT(cluster.cluster.runUntil(Seconds(90), [&] { return cluster.areAllAt(head); }));
     for (const auto &[name, process] : cluster.processes) {
         RC_ASSERT(!process->hasReverted);
         RC_ASSERT(process->store.digest() == writer.store.digest());
--- a/tests/unit/store_follower_test.cpp
+++ b/tests/unit/store_follower_test.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 using test::entrySettings;
-using test::FollowedStore;
 using test::inMs;
-using test::StoreMood;
+using test::StoreCondition;
 using test::VirtualLoop;
+using test::WatchedStore;
 
 // Longest delay over outages that start at each phase of the entry's calls and last at least `minLength`.
 template<class Outage>
@@ -20,24 +20,24 @@
     Duration longest{};
     for (Duration length = minLength; length <= Seconds(13); length += Milliseconds(310)) {
         for (Duration phase{}; phase < Seconds(5); phase += Milliseconds(170)) {
-            FollowedStore entry(leaveMs);
+            WatchedStore entry(leaveMs);
             entry.loop.run(phase);
             const auto acknowledged = outage(entry, length);
             entry.loop.run(Seconds(20));
-            const auto lateness = entry.lateness("a", acknowledged);
+            const auto lateness = entry.removalDelay("a", acknowledged);
             longest = std::max(longest, lateness.value_or(Seconds(20)));
         }
     }
     return longest;
 }
 
-TimePoint leaveAndGetTime(FollowedStore &entry)
+TimePoint leaveAndGetTime(WatchedStore &entry)
 {
     entry.loop.change("a", true);
     return entry.loop.now();
 }
 
-TimePoint removeAndGetTime(FollowedStore &entry)
+TimePoint removeAndGetTime(WatchedStore &entry)
 {
     entry.loop.change("a", false, true);
     return entry.loop.now();
@@ -47,10 +47,10 @@
 TEST(StoreWatcher, ReportsLeavingEndpointInTimeAfterUnansweredCalls)
 {
     for (const std::uint32_t leaveMs : {2000U, 3000U, 5000U}) {
-        const auto longest = longestLateness(leaveMs, Milliseconds(100), [](FollowedStore &entry, Duration length) {
-            entry.loop.setMood(StoreMood::Silent);
+        const auto longest = longestLateness(leaveMs, Milliseconds(100), [](WatchedStore &entry, Duration length) {
+            entry.loop.setCondition(StoreCondition::Unresponsive);
             entry.loop.run(length);
-            entry.loop.setMood(StoreMood::Well);
+            entry.loop.setCondition(StoreCondition::Healthy);
             return leaveAndGetTime(entry);
         });
         EXPECT_LE(longest, Milliseconds(leaveMs)) << inMs(longest);
@@ -60,12 +60,12 @@
 // Guards against adding the grown retry delay to the timeout of an unanswered call.
 TEST(StoreWatcher, ReportsLeavingEndpointInTimeAfterRefusedAndUnansweredCalls)
 {
-    const auto longest = longestLateness(3000, Milliseconds(900), [](FollowedStore &entry, Duration length) {
-        entry.loop.setMood(StoreMood::Refusing);
+    const auto longest = longestLateness(3000, Milliseconds(900), [](WatchedStore &entry, Duration length) {
+        entry.loop.setCondition(StoreCondition::Refusing);
         entry.loop.run(length - Milliseconds(800));
-        entry.loop.setMood(StoreMood::Silent);
+        entry.loop.setCondition(StoreCondition::Unresponsive);
         entry.loop.run(Milliseconds(800));
-        entry.loop.setMood(StoreMood::Well);
+        entry.loop.setCondition(StoreCondition::Healthy);
         return leaveAndGetTime(entry);
     });
     EXPECT_LE(longest, Milliseconds(3000)) << inMs(longest);
@@ -74,10 +74,10 @@
 // Guards against a retry delay that grows beyond the maximum delay of a change.
 TEST(StoreWatcher, ReportsLeavingEndpointInTimeAfterFailedConnections)
 {
-    const auto longest = longestLateness(2000, Milliseconds(100), [](FollowedStore &entry, Duration length) {
-        entry.loop.setMood(StoreMood::Dark);
+    const auto longest = longestLateness(2000, Milliseconds(100), [](WatchedStore &entry, Duration length) {
+        entry.loop.setCondition(StoreCondition::Unreachable);
         entry.loop.run(length);
-        entry.loop.setMood(StoreMood::Well);
+        entry.loop.setCondition(StoreCondition::Healthy);
         return leaveAndGetTime(entry);
     });
     EXPECT_LE(longest, Milliseconds(2000)) << inMs(longest);
@@ -88,10 +88,10 @@
 TEST(StoreWatcher, ReportsRemovalInTimeTwoSecondsAfterAnOutage)
 {
     for (const std::uint32_t leaveMs : {2000U, 3000U}) {
-        const auto longest = longestLateness(leaveMs, Milliseconds(100), [](FollowedStore &entry, Duration length) {
-            entry.loop.setMood(StoreMood::Silent);
+        const auto longest = longestLateness(leaveMs, Milliseconds(100), [](WatchedStore &entry, Duration length) {
+            entry.loop.setCondition(StoreCondition::Unresponsive);
             entry.loop.run(length);
-            entry.loop.setMood(StoreMood::Well);
+            entry.loop.setCondition(StoreCondition::Healthy);
             entry.loop.run(Seconds(2));
             return removeAndGetTime(entry);
         });
@@ -104,8 +104,8 @@
 TEST(StoreWatcher, ReportsLeavingEndpointInTimeWithABrokenConnection)
 {
     for (const std::uint32_t leaveMs : {2000U, 3000U}) {
-        const auto longest = longestLateness(leaveMs, Milliseconds(0), [](FollowedStore &entry, Duration length) {
-            entry.loop.silenceConnections();
+        const auto longest = longestLateness(leaveMs, Milliseconds(0), [](WatchedStore &entry, Duration length) {
+            entry.loop.stallConnections();
             entry.loop.run(length % Seconds(1));
             return leaveAndGetTime(entry);
         });
@@ -127,17 +127,17 @@
             loop.change("c", false);
         });
     };
-    FollowedStore entry(2000, 1, prepare);
-    EXPECT_TRUE(entry.toldGone("b"));
-    EXPECT_FALSE(entry.wentBack());
+    WatchedStore entry(2000, 1, prepare);
+    EXPECT_TRUE(entry.removalTime("b"));
+    EXPECT_FALSE(entry.hasRegressed());
 }
 
 // Guards against calls to endpoints that are missing in the new store after a change of the settings.
 TEST(StoreWatcher, RemovesEndpointsMissingInANewStore)
 {
-    FollowedStore entry(2000, 1, [](VirtualLoop &) {}, {"a", "gone"});
-    EXPECT_TRUE(entry.toldGone("gone"));
-    EXPECT_FALSE(entry.toldGone("a"));
+    WatchedStore entry(2000, 1, [](VirtualLoop &) {}, {"a", "gone"});
+    EXPECT_TRUE(entry.removalTime("gone"));
+    EXPECT_FALSE(entry.removalTime("a"));
 }
 
 enum class Step : std::uint8_t {
@@ -174,20 +174,20 @@
             addLeavingEndpoint();
             break;
         case Step::SilentConnection:
-            entry_.loop.silenceConnections();
-            changes_.push_back({entry_.loop.now(), entry_.loop.mood == StoreMood::Well});
+            entry_.loop.stallConnections();
+            changes_.push_back({entry_.loop.now(), entry_.loop.condition == StoreCondition::Healthy});
             break;
         case Step::Silent:
-            setMood(StoreMood::Silent);
+            setCondition(StoreCondition::Unresponsive);
             break;
         case Step::Refusing:
-            setMood(StoreMood::Refusing);
+            setCondition(StoreCondition::Refusing);
             break;
         case Step::Dark:
-            setMood(StoreMood::Dark);
+            setCondition(StoreCondition::Unreachable);
             break;
         default:
-            setMood(StoreMood::Well);
+            setCondition(StoreCondition::Healthy);
             break;
         }
         entry_.loop.run(pause);
@@ -199,8 +199,8 @@
     {
         Duration longest{};
         for (const auto &[id, acknowledged] : leavingSince_) {
-            const auto reportedAt = entry_.toldGone(id).value_or(entry_.loop.now() + Seconds(60));
-            longest = std::max(longest, reportedAt - stableSince(acknowledged) - entry_.bound());
+            const auto reportedAt = entry_.removalTime(id).value_or(entry_.loop.now() + Seconds(60));
+            longest = std::max(longest, reportedAt - stableSince(acknowledged) - entry_.maxDelay());
         }
         return longest;
     }
@@ -219,24 +219,24 @@
         leavingSince_.emplace(id, entry_.loop.now());
     }
 
-    void setMood(StoreMood mood)
+    void setCondition(StoreCondition condition)
     {
-        entry_.loop.setMood(mood);
-        changes_.push_back({entry_.loop.now(), mood == StoreMood::Well});
+        entry_.loop.setCondition(condition);
+        changes_.push_back({entry_.loop.now(), condition == StoreCondition::Healthy});
     }
 
     TimePoint stableSince(TimePoint since) const
     {
         for (std::size_t i = 0; i + 1 < changes_.size(); ++i) {
             const auto begin = std::max(since, changes_[i].at);
-            if (changes_[i].isAvailable && changes_[i + 1].at >= begin + entry_.bound()) {
+            if (changes_[i].isAvailable && changes_[i + 1].at >= begin + entry_.maxDelay()) {
                 return begin;
             }
         }
         return std::max(since, changes_.back().at);
     }
 
-    FollowedStore entry_;
+    WatchedStore entry_;
     std::map<std::string, TimePoint> leavingSince_; // time of the acknowledgement by the store, by endpoint
     std::vector<Change> changes_;
 };
@@ -280,37 +280,37 @@
 // Guards against cancelling a read that is slow because of a large configuration and a slow link.
 TEST(StoreWatcher, ReadsALargeAnswerOverASlowLink)
 {
-    FollowedStore entry(2000, 1, [](VirtualLoop &loop) {
+    WatchedStore entry(2000, 1, [](VirtualLoop &loop) {
         loop.bodyPadding = 3'000'000;
         loop.bytesPerMs = 1250; // 10 Mbit/s
         loop.change("a", true);
     });
-    EXPECT_TRUE(entry.toldGone("a"));
+    EXPECT_TRUE(entry.removalTime("a"));
 }
 
 // Guards against timing out every call while the link is congested or the store is slow.
 TEST(StoreWatcher, AcceptsLateAnswers)
 {
-    FollowedStore entry(2000);
+    WatchedStore entry(2000);
     entry.loop.answerTime = Milliseconds(1500);
     entry.loop.run(Seconds(10));
     leaveAndGetTime(entry);
     entry.loop.run(Seconds(10));
-    EXPECT_TRUE(entry.toldGone("a"));
+    EXPECT_TRUE(entry.removalTime("a"));
 }
 
 // Guards against more calls to the store than the pause between answers allows, with and without changes.
 TEST(StoreWatcher, CallsNoMoreOftenThanThePauseAllows)
 {
     for (const std::uint32_t leaveMs : {2000U, 3000U}) {
-        const auto pause = storeFollowerInit(entrySettings(leaveMs), 1).times.pause;
-        FollowedStore quietEntry(leaveMs);
+        const auto pause = storeWatcherInit(entrySettings(leaveMs), 1).times.pause;
+        WatchedStore quietEntry(leaveMs);
         const auto before = quietEntry.loop.calls;
         quietEntry.loop.run(Seconds(60));
         const auto maxCalls = static_cast<std::uint64_t>(Seconds(60) / pause) + 1;
         EXPECT_LE(quietEntry.loop.calls - before, maxCalls);
 
-        FollowedStore busyEntry(leaveMs);
+        WatchedStore busyEntry(leaveMs);
         const auto start = busyEntry.loop.calls;
         for (int i = 0; i < 600; ++i) {
             busyEntry.loop.change("b", false);
@@ -323,8 +323,8 @@
 // Guards against frequent calls to a store that refuses them: about one a second.
 TEST(StoreWatcher, CallsARefusingStoreAboutOnceASecond)
 {
-    FollowedStore entry(2000);
-    entry.loop.setMood(StoreMood::Refusing);
+    WatchedStore entry(2000);
+    entry.loop.setCondition(StoreCondition::Refusing);
     entry.loop.run(Seconds(10));
     const auto before = entry.loop.calls;
     entry.loop.run(Seconds(60));
@@ -334,14 +334,14 @@
 // Guards against alternating reads and watches without a pause when the store keeps losing its history.
 TEST(StoreWatcher, CallsAStoreWithoutHistoryNoMoreOftenThanARefusingOne)
 {
-    FollowedStore entry(2000);
-    entry.loop.setMood(StoreMood::Forgetful);
+    WatchedStore entry(2000);
+    entry.loop.setCondition(StoreCondition::HistoryLost);
     entry.loop.run(Seconds(10));
     const auto before = entry.loop.calls;
     const auto acknowledged = leaveAndGetTime(entry);
     entry.loop.run(Seconds(60));
     EXPECT_LE(entry.loop.calls - before, 2 * 121U); // one read and one watch each
-    EXPECT_TRUE(entry.knownInTime("a", acknowledged));
+    EXPECT_TRUE(entry.isRemovedInTime("a", acknowledged));
 }
 
 } // namespace
--- a/tests/unit/store_restore_test.cpp
+++ b/tests/unit/store_restore_test.cpp
@@ -7,13 +7,13 @@
 namespace anvilscale {
 namespace {
 
-using test::FollowedStore;
 using test::inMs;
-using test::StoreMood;
+using test::StoreCondition;
 using test::VirtualStore;
+using test::WatchedStore;
 
 /// Running endpoints rewrite their records within the time that the platform gives them.
-void rewriteRecords(FollowedStore &entry, const std::vector<std::string> &ids)
+void rewriteRecords(WatchedStore &entry, const std::vector<std::string> &ids)
 {
     Duration delay = Milliseconds(200);
     for (const auto &id : ids) {
@@ -30,7 +30,7 @@
 };
 
 /// The store is unavailable and restored from a backup; endpoints then write the records missing in it.
-void runScenario(FollowedStore &entry, const RestoreScenario &scenario)
+void runScenario(WatchedStore &entry, const RestoreScenario &scenario)
 {
     const VirtualStore backup = entry.loop.store;
     entry.loop.change("late", false);
@@ -39,10 +39,10 @@
     }
     entry.loop.run(scenario.backupAge);
     const auto runningIds = entry.loop.store.ids();
-    entry.loop.setMood(StoreMood::Refusing);
+    entry.loop.setCondition(StoreCondition::Refusing);
     entry.loop.run(scenario.outage);
     entry.loop.restore(backup);
-    entry.loop.setMood(StoreMood::Well);
+    entry.loop.setCondition(StoreCondition::Healthy);
     rewriteRecords(entry, runningIds);
 }
 
@@ -67,16 +67,16 @@
 {
     Duration longest{};
     forEachScenario([&](const RestoreScenario &scenario, Duration phase) {
-        FollowedStore entry;
+        WatchedStore entry;
         entry.loop.run(phase);
         runScenario(entry, scenario);
         entry.loop.run(Seconds(2));
         entry.loop.change("a", true);
         const auto acknowledged = entry.loop.now();
         entry.loop.run(Seconds(10));
-        longest = std::max(longest, entry.lateness("a", acknowledged).value_or(Seconds(10)));
+        longest = std::max(longest, entry.removalDelay("a", acknowledged).value_or(Seconds(10)));
     });
-    RecordProperty("longestMs", static_cast<int>(wholeMs(longest)));
+    RecordProperty("longestMs", static_cast<int>(toMilliseconds(longest)));
     EXPECT_LE(longest, Milliseconds(2000)) << inMs(longest);
 }
 
@@ -85,11 +85,11 @@
 {
     int wronglyRemoved = 0;
     forEachScenario([&](const RestoreScenario &scenario, Duration phase) {
-        FollowedStore entry;
+        WatchedStore entry;
         entry.loop.run(phase);
         runScenario(entry, scenario);
         entry.loop.run(Seconds(10));
-        wronglyRemoved += entry.toldGone("late") || entry.toldGone("a") || entry.toldGone("b") ? 1 : 0;
+        wronglyRemoved += entry.removalTime("late") || entry.removalTime("a") || entry.removalTime("b") ? 1 : 0;
     });
     EXPECT_EQ(wronglyRemoved, 0);
 }
@@ -97,17 +97,17 @@
 // Guards against keeping an endpoint that exited during the outage and is missing in the backup.
 TEST(StoreRestore, RemovesEndpointMissingInTheBackup)
 {
-    FollowedStore entry;
+    WatchedStore entry;
     const VirtualStore backup = entry.loop.store;
     entry.loop.change("late", false);
     entry.loop.run(Seconds(2));
-    ASSERT_FALSE(entry.toldGone("late"));
+    ASSERT_FALSE(entry.removalTime("late"));
     entry.loop.restore(backup);
     const auto restored = entry.loop.now();
     entry.loop.run(Seconds(10));
-    const auto lateness = entry.lateness("late", restored);
+    const auto lateness = entry.removalDelay("late", restored);
     ASSERT_TRUE(lateness);
-    EXPECT_LE(*lateness, Seconds(2) + entry.bound());
+    EXPECT_LE(*lateness, Seconds(2) + entry.maxDelay());
 }
 
 // Guards against missing a restore between two answers after which revisions exceed the known one.
@@ -115,7 +115,7 @@
 {
     Duration longest{};
     for (Duration phase{}; phase < Seconds(2); phase += Milliseconds(30)) {
-        FollowedStore entry;
+        WatchedStore entry;
         const VirtualStore backup = entry.loop.store;
         entry.loop.change("b", false);
         entry.loop.run(phase); // the pause after an answer with changes, and the next watch
@@ -126,16 +126,16 @@
             entry.loop.change("b", false);
         }
         entry.loop.run(Seconds(10));
-        longest = std::max(longest, entry.lateness("a", acknowledged).value_or(Seconds(10)));
+        longest = std::max(longest, entry.removalDelay("a", acknowledged).value_or(Seconds(10)));
     }
-    RecordProperty("longestMs", static_cast<int>(wholeMs(longest)));
+    RecordProperty("longestMs", static_cast<int>(toMilliseconds(longest)));
     EXPECT_LE(longest, Milliseconds(2000)) << inMs(longest);
 }
 
 // Guards against applying a stale answer from before the restore.
 TEST(StoreRestore, DropsAnswerOfAnEarlierEra)
 {
-    FollowedStore entry;
+    WatchedStore entry;
     const VirtualStore backup = entry.loop.store;
     entry.loop.restore(backup);
     entry.loop.run(Seconds(3));
@@ -146,12 +146,12 @@
     }
     entry.loop.store = stale;
     entry.loop.run(Seconds(3));
-    EXPECT_FALSE(entry.toldGone("a"));
+    EXPECT_FALSE(entry.removalTime("a"));
     entry.loop.store = present;
     entry.loop.run(Seconds(2));
     entry.loop.change("a", true);
     entry.loop.run(Seconds(2));
-    EXPECT_TRUE(entry.toldGone("a"));
+    EXPECT_TRUE(entry.removalTime("a"));
 }
 
 // Guards against state that stays outdated after a read of old data, of this era or the one before.
@@ -159,22 +159,22 @@
 {
     for (const bool isOfCurrentEra : {true, false}) {
         for (Duration phase{}; phase < Seconds(2); phase += Milliseconds(130)) {
-            FollowedStore entry;
+            WatchedStore entry;
             entry.loop.run(phase);
             const VirtualStore backup = entry.loop.store;
             entry.loop.store.pageSize = 1;
             entry.loop.change("late", false);
-            entry.loop.oldStore = entry.loop.store;
+            entry.loop.staleStore = entry.loop.store;
             entry.loop.restore(backup);
             if (isOfCurrentEra) {
-                entry.loop.oldStore = entry.loop.store;
+                entry.loop.staleStore = entry.loop.store;
             }
             entry.loop.change("late", false);
             entry.loop.change("a", true);
             const auto acknowledged = entry.loop.now();
             entry.loop.run(Seconds(5));
-            EXPECT_TRUE(entry.knownInTime("a", acknowledged)) << "phase " << inMs(phase);
-            EXPECT_EQ(entry.present(), (std::set<std::string>{"a", "b", "late"}));
+            EXPECT_TRUE(entry.isRemovedInTime("a", acknowledged)) << "phase " << inMs(phase);
+            EXPECT_EQ(entry.presentIds(), (std::set<std::string>{"a", "b", "late"}));
         }
     }
 }
@@ -183,20 +183,20 @@
 TEST(StoreRestore, WithholdsRemovedEndpointFoundInTheBackup)
 {
     for (Duration phase{}; phase < Seconds(2); phase += Milliseconds(130)) {
-        FollowedStore entry;
+        WatchedStore entry;
         entry.loop.run(phase);
         const VirtualStore backup = entry.loop.store;
         entry.loop.change("a", false, true);
         entry.loop.run(Seconds(2));
-        ASSERT_TRUE(entry.toldGone("a"));
+        ASSERT_TRUE(entry.removalTime("a"));
         entry.loop.restore(backup);
         for (int i = 0; i < 30; ++i) {
             entry.loop.run(Milliseconds(100));
-            EXPECT_EQ(entry.present().count("a"), 0U) << "phase " << inMs(phase);
+            EXPECT_EQ(entry.presentIds().count("a"), 0U) << "phase " << inMs(phase);
         }
         entry.loop.change("a", false, true);
         entry.loop.run(Seconds(5));
-        EXPECT_EQ(entry.present(), std::set<std::string>{"b"});
+        EXPECT_EQ(entry.presentIds(), std::set<std::string>{"b"});
     }
 }
 
@@ -204,7 +204,7 @@
 TEST(StoreRestore, ReportsRemovedEndpointThatIsRunning)
 {
     for (const bool rewritesRecord : {true, false}) {
-        FollowedStore entry;
+        WatchedStore entry;
         const VirtualStore backup = entry.loop.store;
         entry.loop.change("a", false, true);
         entry.loop.run(Seconds(2));
@@ -216,7 +216,7 @@
         } else {
             entry.loop.run(Seconds(5));
         }
-        EXPECT_EQ(entry.present().count("a"), 1U);
+        EXPECT_EQ(entry.presentIds().count("a"), 1U);
     }
 }
 
@@ -224,7 +224,7 @@
 TEST(StoreRestore, EntryStartedDuringRestoreHasStateOfTheStore)
 {
     for (Duration phase{}; phase < Milliseconds(60); phase += Milliseconds(1)) {
-        FollowedStore entry(2000, 1, [phase](test::VirtualLoop &loop) {
+        WatchedStore entry(2000, 1, [phase](test::VirtualLoop &loop) {
             loop.store.pageSize = 1;
             const VirtualStore backup = loop.store;
             loop.change("late", false);
@@ -235,12 +235,12 @@
             });
         });
         const auto expectedIds = entry.loop.store.ids();
-        EXPECT_EQ(entry.present(), std::set<std::string>(expectedIds.begin(), expectedIds.end()))
+        EXPECT_EQ(entry.presentIds(), std::set<std::string>(expectedIds.begin(), expectedIds.end()))
             << "phase " << inMs(phase);
         entry.loop.change("b", true);
         const auto acknowledged = entry.loop.now();
         entry.loop.run(Seconds(3));
-        EXPECT_TRUE(entry.knownInTime("b", acknowledged)) << "phase " << inMs(phase);
+        EXPECT_TRUE(entry.isRemovedInTime("b", acknowledged)) << "phase " << inMs(phase);
     }
 }
 
@@ -249,23 +249,23 @@
 bool matchesStoreAfterSeries(std::uint64_t seed)
 {
     Random random(seed);
-    FollowedStore entry(2000, seed);
+    WatchedStore entry(2000, seed);
     std::vector<VirtualStore> backups{entry.loop.store};
     const std::vector<std::string> ids{"a", "b", "c", "d"};
     for (int step = 0; step < 30; ++step) {
-        const auto &id = ids[random.below(ids.size())];
-        switch (random.below(8)) {
+        const auto &id = ids[random.uniformBelow(ids.size())];
+        switch (random.uniformBelow(8)) {
         case 0:
             backups.push_back(entry.loop.store);
             break;
         case 1:
-            entry.loop.restore(backups[random.below(backups.size())]);
+            entry.loop.restore(backups[random.uniformBelow(backups.size())]);
             break;
         case 5:
-            entry.loop.oldStore = entry.loop.store;
+            entry.loop.staleStore = entry.loop.store;
             break;
         case 2:
-            entry.loop.setMood(static_cast<StoreMood>(random.below(enumCount<StoreMood>)));
+            entry.loop.setCondition(static_cast<StoreCondition>(random.uniformBelow(enumCount<StoreCondition>)));
             break;
         case 3:
             entry.loop.change(id, false, true);
@@ -274,12 +274,12 @@
             entry.loop.change(id, false);
             break;
         }
-        entry.loop.run(Milliseconds(static_cast<int>(random.below(1500))));
+        entry.loop.run(Milliseconds(static_cast<int>(random.uniformBelow(1500))));
     }
-    entry.loop.setMood(StoreMood::Well);
+    entry.loop.setCondition(StoreCondition::Healthy);
     entry.loop.run(Seconds(12));
     const auto expectedIds = entry.loop.store.ids();
-    return entry.present() == std::set<std::string>(expectedIds.begin(), expectedIds.end());
+    return entry.presentIds() == std::set<std::string>(expectedIds.begin(), expectedIds.end());
 }
 
 // Guards against reporting a withheld record that a later full read has not found.
--- a/tests/unit/store_share_test.cpp
+++ b/tests/unit/store_share_test.cpp
@@ -8,7 +8,7 @@
 namespace anvilscale {
 namespace {
 
-using test::StoreMood;
+using test::StoreCondition;
 using test::VirtualClient;
 using test::VirtualDialect;
 using test::VirtualLoop;
@@ -33,7 +33,7 @@
         for (std::size_t i = 0; i < entries; ++i) {
             entries_.push_back(std::make_unique<Entry>());
             auto &entry = *entries_.back();
-            StoreFollowerInit init;
+            StoreWatcherInit init;
             init.address = "10.0.0.1:80";
             init.times = storeTimes(bound);
             init.seed = i + 1;
@@ -73,7 +73,7 @@
     static constexpr Duration unknown = Seconds(100);
 
 private:
-    using Watcher = StoreFollower<VirtualDialect, VirtualLoop, VirtualClient>;
+    using Watcher = StoreWatcher<VirtualDialect, VirtualLoop, VirtualClient>;
     struct Entry
     {
         std::unique_ptr<Watcher> watcher;
@@ -81,9 +81,9 @@
         std::map<std::string, std::size_t> reportCounts;
     };
 
-    StoreFollowerHandlers handlersOf(std::size_t index)
+    StoreWatcherHandlers handlersOf(std::size_t index)
     {
-        StoreFollowerHandlers handlers;
+        StoreWatcherHandlers handlers;
         handlers.record = [this, index](const StoreRecord &record) {
             auto &entry = *entries_[index];
             if (const auto *endpoint = std::get_if<EndpointRecord>(&record)) {
@@ -131,7 +131,7 @@
     SharedStoreWatch<VirtualDialect, VirtualLoop, VirtualClient> sharedWatch_;
 };
 
-TEST(StoreShare, OneCallToTheStoreServesAllEntries)
+TEST(SharedStoreWatch, OneCallToTheStoreServesAllEntries)
 {
     SharedWatchFleet fleet;
     const auto before = fleet.loop.calls;
@@ -140,7 +140,7 @@
     EXPECT_LE(perBound, 4.0) << "one call per quarter of the bound";
 }
 
-TEST(StoreShare, ReportsToAllEntriesInTime)
+TEST(SharedStoreWatch, ReportsToAllEntriesInTime)
 {
     for (Duration phase{}; phase < Seconds(2); phase += Milliseconds(90)) {
         SharedWatchFleet fleet;
@@ -148,12 +148,12 @@
         const auto since = fleet.loop.now();
         fleet.loop.change("a", true);
         fleet.loop.run(Seconds(5));
-        EXPECT_LE(fleet.longestLateness("a", since), bound / 2) << "phase " << wholeMs(phase) << " ms";
+        EXPECT_LE(fleet.longestLateness("a", since), bound / 2) << "phase " << toMilliseconds(phase) << " ms";
     }
 }
 
 // Guards against late changes when the sidecar stops answering at any moment around the change.
-TEST(StoreShare, EntriesCallTheStoreInTimeWhenTheSidecarStops)
+TEST(SharedStoreWatch, EntriesCallTheStoreInTimeWhenTheSidecarStops)
 {
     for (Duration phase{}; phase < Seconds(1); phase += Milliseconds(30)) {
         for (Duration lead{}; lead <= Milliseconds(900); lead += Milliseconds(150)) {
@@ -166,34 +166,36 @@
             fleet.loop.change("a", true);
             fleet.loop.run(Seconds(6));
             EXPECT_LE(fleet.longestLateness("a", since), bound)
-                << "phase " << wholeMs(phase) << " lead " << wholeMs(lead);
+                << "phase " << toMilliseconds(phase) << " lead " << toMilliseconds(lead);
         }
     }
 }
 
 // Guards against late changes after an outage of the store, through the sidecar or without it.
-TEST(StoreShare, ReportsToAllEntriesInTimeAfterAnOutage)
+TEST(SharedStoreWatch, ReportsToAllEntriesInTimeAfterAnOutage)
 {
-    for (const auto mood : {StoreMood::Silent, StoreMood::Refusing, StoreMood::Dark, StoreMood::Forgetful}) {
+    for (const auto condition : {StoreCondition::Unresponsive, StoreCondition::Refusing, StoreCondition::Unreachable,
+                                 StoreCondition::HistoryLost}) {
         for (Duration length = Milliseconds(400); length < Seconds(8); length += Milliseconds(730)) {
             for (Duration phase{}; phase < Seconds(1); phase += Milliseconds(170)) {
                 SharedWatchFleet fleet;
                 fleet.loop.run(phase);
-                fleet.loop.setMood(mood);
+                fleet.loop.setCondition(condition);
                 fleet.loop.run(length);
-                fleet.loop.setMood(StoreMood::Well);
+                fleet.loop.setCondition(StoreCondition::Healthy);
                 const auto since = fleet.loop.now();
                 fleet.loop.change("a", true);
                 fleet.loop.run(Seconds(8));
-                EXPECT_LE(fleet.longestLateness("a", since), bound) << "mood " << static_cast<int>(mood) << " length "
-                                                                    << wholeMs(length) << " phase " << wholeMs(phase);
+                EXPECT_LE(fleet.longestLateness("a", since), bound)
+                    << "condition " << static_cast<int>(condition) << " length " << toMilliseconds(length) << " phase "
+                    << toMilliseconds(phase);
             }
         }
     }
 }
 
 // Guards against using a sidecar that watches another store, whose revisions cannot be compared.
-TEST(StoreShare, EntriesRejectASidecarOfAnotherStore)
+TEST(SharedStoreWatch, EntriesRejectASidecarOfAnotherStore)
 {
     SharedWatchFleet fleet("http://10.0.0.2:80");
     EXPECT_FALSE(fleet.isSidecarSelected);
@@ -204,7 +206,7 @@
 }
 
 // Guards against mixing up revisions that were used before and after a restore.
-TEST(StoreShare, ReportsToAllEntriesInTimeAfterARestore)
+TEST(SharedStoreWatch, ReportsToAllEntriesInTimeAfterARestore)
 {
     for (Duration phase{}; phase < Seconds(2); phase += Milliseconds(70)) {
         for (const int lostChanges : {0, 1, 20}) {
@@ -223,7 +225,7 @@
             }
             fleet.loop.run(Seconds(6));
             EXPECT_LE(fleet.longestLateness("a", since), bound)
-                << "phase " << wholeMs(phase) << " lost " << lostChanges;
+                << "phase " << toMilliseconds(phase) << " lost " << lostChanges;
         }
     }
 }
@@ -255,7 +257,7 @@
 }
 
 // Guards against sending every adapter change to each entry, which gets them from the sidecars.
-TEST(StoreShare, DoesNotForwardChangesOfResidentAdapters)
+TEST(SharedStoreWatch, DoesNotForwardChangesOfResidentAdapters)
 {
     SharedWatchFleet fleet;
     fleet.loop.change("b", false); // the first change observed by the sidecar
