--- a/bench/policybench/fleet.cpp
+++ b/bench/policybench/fleet_simulation.cpp
@@ -1,5 +1,5 @@
 // Simulation of a fleet: construction, arrivals, disturbances, messages and call completion.
-#include "fleet.h"
+#include "fleet_simulation.h"
 
 #include <algorithm>
 
--- a/bench/policybench/main.cpp
+++ b/bench/policybench/main.cpp
@@ -1,6 +1,6 @@
 // policybench: runs a seeded trace through baseline and product decisions in virtual time and prints their metrics.
 #include "bench_config.h"
-#include "fleet.h"
+#include "fleet_simulation.h"
 #include "offline_bound.h"
 
 #include <cxxopts.hpp>
--- a/bench/slopes/key_value_slopes.cpp
+++ b/bench/slopes/key_value_slopes.cpp
@@ -2,7 +2,7 @@
 #include "config.pb.h"
 #include "fleet_records.h"
 #include "slopes.h"
-#include "support/virtual_world.h"
+#include "support/virtual_cluster.h"
 #include "wire.pb.h"
 
 #include "anvilscale/state.h"
--- a/src/daemon/crash_reporter.h
+++ b/src/daemon/crash_reporter.h
@@ -1,7 +1,7 @@
 // Writes crash reports of an entry to the platform's store, from which all entries read them.
 #pragma once
 
-#include "store_follower.h"
+#include "store_watcher.h"
 
 #include "anvilscale/direct_path.h"
 
--- a/src/daemon/direct_sidecar.h
+++ b/src/daemon/direct_sidecar.h
@@ -4,7 +4,7 @@
 #include "control_loop.h"
 #include "direct_settings.h"
 #include "process.h"
-#include "store_share.h"
+#include "shared_store_watch.h"
 
 #include "anvilscale/daemon.h"
 #include "anvilscale/direct_path.h"
--- a/src/daemon/store_share.h
+++ b/src/daemon/shared_store_watch.h
@@ -1,7 +1,7 @@
 // SharedStoreWatch: one sidecar watches the platform's store for several entries.
 #pragma once
 
-#include "store_follower.h"
+#include "store_watcher.h"
 
 #include <deque>
 #include <limits>
--- a/src/direct/adapter_keeper.cpp
+++ b/src/direct/adapter_controller.cpp
@@ -1,5 +1,5 @@
 // Demand and reported state of one engine, and the state sent to entries.
-#include "adapter_keeper_impl.h"
+#include "adapter_controller_impl.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/direct/keeper_orders.cpp
+++ b/src/direct/adapter_controller_orders.cpp
@@ -1,5 +1,5 @@
 // Selects the next order of an engine: one at a time, within its slots and memory, and never on an adapter in use.
-#include "adapter_keeper_impl.h"
+#include "adapter_controller_impl.h"
 
 #include <algorithm>
 #include <bit>
--- a/src/routing/entry_core.h
+++ b/src/routing/entry_core.h
@@ -3,7 +3,7 @@
 
 #include "entry_call.h"
 #include "placement.h"
-#include "repeat_memory.h"
+#include "recent_requests.h"
 #include "retry_budget.h"
 #include "slot_view.h"
 
--- a/src/routing/repeat_memory.cpp
+++ b/src/routing/recent_requests.cpp
@@ -1,5 +1,5 @@
 // Recently sent idempotency keys, bounded by age and count.
-#include "repeat_memory.h"
+#include "recent_requests.h"
 
 namespace anvilscale {
 
--- a/src/state/config_spread.cpp
+++ b/src/state/config_distributor.cpp
@@ -1,7 +1,7 @@
 // Distribution of the configuration: a few watchers per data centre read the key-value service, all other processes
 // receive it from peers.
+#include "advance_now.h"
 #include "config_reader.h"
-#include "later_now.h"
 #include "wire.pb.h"
 
 #include <map>
--- a/src/state/config_reader.h
+++ b/src/state/config_reader.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "config.pb.h"
-#include "kv_ids.h"
+#include "kv_requests.h"
 
 #include "anvilscale/state.h"
 
--- a/src/state/config_writer.cpp
+++ b/src/state/config_writer.cpp
@@ -1,6 +1,6 @@
 // Appends changes by compare-and-swap and compacts the stored history.
+#include "advance_now.h"
 #include "config_reader.h"
-#include "later_now.h"
 #include "record.h"
 
 namespace anvilscale {
--- a/src/state/key_follower.cpp
+++ b/src/state/key_watcher.cpp
@@ -1,5 +1,5 @@
 // Watches keys by a full read followed by a watch from the next revision, so that no change is missed.
-#include "kv_ids.h"
+#include "kv_requests.h"
 
 #include "anvilscale/state.h"
 
--- a/src/state/lease_keeper.cpp
+++ b/src/state/lease_holder.cpp
@@ -1,8 +1,8 @@
 // Holds one key under a lease. The fencing number is the key's modification revision: it increases with every
 // acquisition and does not change on a keep-alive.
+#include "advance_now.h"
 #include "config.pb.h"
-#include "kv_ids.h"
-#include "later_now.h"
+#include "kv_requests.h"
 
 #include "anvilscale/state.h"
 
--- a/src/state/membership.cpp
+++ b/src/state/membership.cpp
@@ -1,6 +1,6 @@
 // Membership from direct heartbeats and the VM list. Heartbeats take precedence over the lagging list, but leaving is
 // final for an incarnation.
-#include "later_now.h"
+#include "advance_now.h"
 #include "wire.pb.h"
 
 #include "anvilscale/state.h"
--- a/src/state/slot_owner_impl.h
+++ b/src/state/slot_owner_impl.h
@@ -1,9 +1,9 @@
 // State of a slot owner: cached leases and table, current step, and the transfer in progress.
 #pragma once
 
-#include "kv_ids.h"
-#include "later_now.h"
-#include "slot_giving.h"
+#include "advance_now.h"
+#include "kv_requests.h"
+#include "slot_transfer.h"
 
 namespace anvilscale {
 
--- a/src/state/slot_giving.cpp
+++ b/src/state/slot_transfer.cpp
@@ -1,5 +1,5 @@
 // Parts and acknowledgements of a slot transfer.
-#include "slot_giving.h"
+#include "slot_transfer.h"
 
 namespace anvilscale {
 namespace {
--- a/tests/faults/callers.cpp
+++ b/tests/faults/callers.cpp
@@ -1,5 +1,5 @@
 // Simulated callers, and the invariants, which are checked against the runs recorded by the stand-in endpoints.
-#include "world.h"
+#include "simulation.h"
 
 namespace anvilscale::faults {
 
--- a/tests/faults/cells.h
+++ b/tests/faults/cells.h
@@ -1,7 +1,7 @@
 // Cells of the fault matrix: text form, execution and results.
 #pragma once
 
-#include "world.h"
+#include "simulation.h"
 
 namespace anvilscale::faults {
 
--- a/tests/faults/injector.cpp
+++ b/tests/faults/injector.cpp
@@ -1,5 +1,5 @@
 // Injection of faults and their effects.
-#include "world.h"
+#include "simulation.h"
 
 namespace anvilscale::faults {
 
--- a/tests/faults/link.cpp
+++ b/tests/faults/link.cpp
@@ -1,5 +1,5 @@
 // Simulated messages between processes, calls to endpoints, and the key-value service.
-#include "world.h"
+#include "simulation.h"
 
 namespace anvilscale::faults {
 
--- a/tests/faults/world.cpp
+++ b/tests/faults/simulation.cpp
@@ -1,5 +1,5 @@
 // Virtual time, and starting and stopping of simulated processes.
-#include "world.h"
+#include "simulation.h"
 
 namespace anvilscale::faults {
 
--- a/tests/faults/world.h
+++ b/tests/faults/simulation.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "config.pb.h"
-#include "stand_in.h"
+#include "stand_in_endpoint.h"
 #include "support/memory_kv.h"
 #include "tables.h"
 #include "wire.pb.h"
@@ -143,7 +143,7 @@
     };
     using Action = std::function<void()>;
 
-    // world.cpp: time and processes
+    // simulation.cpp: time and processes
     void schedule(Duration wait, Action action);
     void post(const std::string &node, Duration wait, Action action);
     void runUntil(TimePoint end);
--- a/tests/process/fleet.h
+++ b/tests/process/fleet.h
@@ -3,8 +3,8 @@
 
 #include "child_process.h"
 #include "configurator.h"
-#include "http_calls.h"
-#include "own_ports.h"
+#include "http_client.h"
+#include "port_allocator.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/standins/faults.cpp
+++ b/tests/standins/fault_injector.cpp
@@ -1,5 +1,5 @@
 // Fault injection of the key-value stand-in.
-#include "faults.h"
+#include "fault_injector.h"
 
 #include <algorithm>
 #include <thread>
--- a/tests/standins/key_value.cpp
+++ b/tests/standins/key_value.cpp
@@ -1,6 +1,6 @@
 // The key-value service stand-in: a subset of etcd v3's JSON gateway over an in-memory store.
-// Control: POST /standin sets faults (see faults.h) and {"compact": revision}, GET /standin returns counters.
-#include "faults.h"
+// Control: POST /standin sets faults (see fault_injector.h) and {"compact": revision}, GET /standin returns counters.
+#include "fault_injector.h"
 #include "http_host.h"
 #include "key_value_store.h"
 #include "subcommands.h"
--- a/tests/support/virtual_store.h
+++ b/tests/support/virtual_store.h
@@ -1,7 +1,7 @@
 // The platform's store, a client of it and an event loop under a virtual clock, for tests of the store watch.
 #pragma once
 
-#include "daemon/store_follower.h"
+#include "daemon/store_watcher.h"
 
 #include <algorithm>
 #include <map>
--- a/tests/unit/residency_keys_test.cpp
+++ b/tests/unit/residency_keys_test.cpp
@@ -1,7 +1,7 @@
 // Tests of at-most-once calls with complete sidecars and a key-value service in virtual time. They check how often the
 // service ran a key, and that only keys that never ran are refused as "not run".
 #include "config.pb.h"
-#include "support/virtual_world.h"
+#include "support/virtual_cluster.h"
 
 #include "anvilscale/residency.h"
 
--- a/tests/unit/store_share_test.cpp
+++ b/tests/unit/shared_store_watch_test.cpp
@@ -1,6 +1,6 @@
 // Tests of SharedStoreWatch: calls to the store and delay of changes when the sidecar, the connection to it or the
 // store fails. Virtual clock.
-#include "daemon/store_share.h"
+#include "daemon/shared_store_watch.h"
 #include "support/virtual_store.h"
 
 #include <gtest/gtest.h>
--- a/tests/unit/state_spread_test.cpp
+++ b/tests/unit/state_distribution_test.cpp
@@ -1,6 +1,6 @@
 // Tests of configuration writers and distribution: concurrent operators, lost replies, outages, peers.
 #include "config.pb.h"
-#include "support/virtual_world.h"
+#include "support/virtual_cluster.h"
 #include "wire.pb.h"
 
 #include "anvilscale/state.h"
--- a/tests/unit/state_lease_test.cpp
+++ b/tests/unit/state_lease_test.cpp
@@ -1,5 +1,5 @@
 // Tests of leases and watched keys under lost replies, outages and pauses.
-#include "support/virtual_world.h"
+#include "support/virtual_cluster.h"
 
 #include "anvilscale/state.h"
 
--- a/tests/unit/state_slots_test.cpp
+++ b/tests/unit/state_slots_test.cpp
@@ -1,6 +1,6 @@
 // Tests of slot ownership: fair shares, takeover after a lease expires, handover at a drain, and pauses.
 #include "config.pb.h"
-#include "support/virtual_world.h"
+#include "support/virtual_cluster.h"
 #include "wire.pb.h"
 
 #include "anvilscale/state.h"
--- a/tests/unit/store_restore_test.cpp
+++ b/tests/unit/store_restore_test.cpp
@@ -1,6 +1,6 @@
 // Tests of StoreWatcher with a store that is restored from a backup. Virtual clock.
 #include "daemon/direct_settings.h"
-#include "support/followed_store.h"
+#include "support/watched_store.h"
 
 #include <rapidcheck/gtest.h>
 
--- a/tests/unit/store_follower_test.cpp
+++ b/tests/unit/store_watcher_test.cpp
@@ -1,5 +1,5 @@
 // Tests of StoreWatcher: delay of changes under failures of the store and of connections. Virtual clock.
-#include "support/followed_store.h"
+#include "support/watched_store.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
