--- a/bench/policybench/fleet_simulation.cpp
+++ b/bench/policybench/fleet_simulation.cpp
@@ -484,7 +484,7 @@
 void FleetSimulation<Version>::finishOrder(std::size_t node, const SendOrder &order, OrderOutcome outcome, TimePoint at)
 {
     auto &target = *nodes_[node];
-    const auto name = order.which.text();
+    const auto name = order.adapterVersion.text();
     const bool isDone = outcome == OrderOutcome::Done && !target.engine->isDown();
     if (order.kind == OrderKind::List && isDone) {
         target.sidecar->onEngineList(order.order, target.engine->list(), timeAt(at));
--- a/bench/policybench/naive_sidecar.cpp
+++ b/bench/policybench/naive_sidecar.cpp
@@ -81,7 +81,7 @@
     SendOrder out;
     out.order = handle;
     out.kind = kind;
-    out.which = parseAdapter(adapter);
+    out.adapterVersion = parseAdapter(adapter);
     actions_.emplace_back(std::move(out));
 }
 
--- a/bench/slopes/sidecar_slopes.cpp
+++ b/bench/slopes/sidecar_slopes.cpp
@@ -160,10 +160,10 @@
             return;
         }
         if (order.kind == OrderKind::Load) {
-            loaded_.push_back(order.which);
+            loaded_.push_back(order.adapterVersion);
         }
         if (order.kind == OrderKind::Unload) {
-            std::erase(loaded_, order.which);
+            std::erase(loaded_, order.adapterVersion);
         }
         sidecar_.onOrderDone(order.order, OrderOutcome::Done, now_);
     }
--- a/include/anvilscale/residency.h
+++ b/include/anvilscale/residency.h
@@ -94,7 +94,7 @@
 {
     OrderHandle order;
     OrderKind kind = OrderKind::List;
-    AdapterVersion which;
+    AdapterVersion adapterVersion;
     std::string weights;
     std::uint64_t fence = 0;
     Duration timeout{};
--- a/include/anvilscale/state.h
+++ b/include/anvilscale/state.h
@@ -139,7 +139,7 @@
     std::optional<ServiceView> service(std::string_view name) const;
     const Policy &policy() const;
     /// Returns the location of a version's weights; empty if the adapter or version is not configured.
-    std::string weights(const AdapterVersion &which) const;
+    std::string weights(const AdapterVersion &adapterVersion) const;
     std::size_t adapterCount() const;
 
     /// Applies the delta to revision()+1. Any other revision returns NotNext. On error nothing is changed.
--- a/src/endpoint/model_engine.cpp
+++ b/src/endpoint/model_engine.cpp
@@ -27,7 +27,7 @@
 
 std::string adapterNameOf(const SendOrder &order)
 {
-    return order.kind == OrderKind::Fence ? std::string(fenceAdapterName) : order.which.text();
+    return order.kind == OrderKind::Fence ? std::string(fenceAdapterName) : order.adapterVersion.text();
 }
 
 /// Value of a metric's first sample in the Prometheus text format.
--- a/src/residency/adapter_table.cpp
+++ b/src/residency/adapter_table.cpp
@@ -10,24 +10,24 @@
 {
 }
 
-AdapterRecord &AdapterTable::add(const AdapterVersion &which)
+AdapterRecord &AdapterTable::add(const AdapterVersion &adapterVersion)
 {
-    auto [it, isNew] = records_.try_emplace(which);
+    auto [it, isNew] = records_.try_emplace(adapterVersion);
     if (isNew) {
-        it->second.which = which;
+        it->second.adapterVersion = adapterVersion;
     }
     return it->second;
 }
 
-AdapterRecord *AdapterTable::find(const AdapterVersion &which)
+AdapterRecord *AdapterTable::find(const AdapterVersion &adapterVersion)
 {
-    const auto it = records_.find(which);
+    const auto it = records_.find(adapterVersion);
     return it == records_.end() ? nullptr : &it->second;
 }
 
-const AdapterRecord *AdapterTable::find(const AdapterVersion &which) const
+const AdapterRecord *AdapterTable::find(const AdapterVersion &adapterVersion) const
 {
-    const auto it = records_.find(which);
+    const auto it = records_.find(adapterVersion);
     return it == records_.end() ? nullptr : &it->second;
 }
 
--- a/src/residency/adapter_table.h
+++ b/src/residency/adapter_table.h
@@ -13,7 +13,7 @@
 /// State of one adapter version.
 struct AdapterRecord
 {
-    AdapterVersion which;
+    AdapterVersion adapterVersion;
     ResidencyState state = ResidencyState::Absent;
 
     // Open calls of this sidecar at the engine. Invariant: grows only in Resident.
@@ -69,9 +69,9 @@
 
     explicit AdapterTable(Safeguards safeguards);
 
-    AdapterRecord &add(const AdapterVersion &which);
-    AdapterRecord *find(const AdapterVersion &which);
-    const AdapterRecord *find(const AdapterVersion &which) const;
+    AdapterRecord &add(const AdapterVersion &adapterVersion);
+    AdapterRecord *find(const AdapterVersion &adapterVersion);
+    const AdapterRecord *find(const AdapterVersion &adapterVersion) const;
     Records &records()
     {
         return records_;
--- a/src/residency/call_queue.h
+++ b/src/residency/call_queue.h
@@ -25,8 +25,8 @@
     ExecutionHandle execution;
     wire::CallRequest request;
     std::vector<Listener> listeners;
-    AdapterVersion which; ///< empty for a plain service and for the base model
-    AdapterRecord *record = nullptr; ///< record of `which`; the table keeps it while calls wait
+    AdapterVersion adapterVersion; ///< empty for a plain service and for the base model
+    AdapterRecord *record = nullptr; ///< record of `adapterVersion`; the table keeps it while calls wait
     CallClass callClass = CallClass::Normal;
     TimePoint arrivedAt;
     TimePoint deadline;
--- a/src/residency/eviction.cpp
+++ b/src/residency/eviction.cpp
@@ -48,7 +48,7 @@
     const bool onlyNonUrgent = exceedsUnreservedSlots(table, claim);
     AdapterRecord *victim = nullptr;
     double minValue = 0.0;
-    for (auto &[which, record] : table.records()) {
+    for (auto &[adapterVersion, record] : table.records()) {
         const bool hasWaitingCalls = record.waiting != 0 && !record.isYielding;
         if (record.state != ResidencyState::Resident || hasWaitingCalls
             || (onlyUnpinned && record.mayHaveRunningCalls())) {
--- a/src/residency/execution_table.h
+++ b/src/residency/execution_table.h
@@ -16,7 +16,7 @@
 struct Execution
 {
     ExecutionHandle handle;
-    AdapterVersion which;
+    AdapterVersion adapterVersion;
     std::string service;
     std::string key;
     std::uint64_t fingerprint = 0;
@@ -24,7 +24,7 @@
     std::vector<Listener> listeners;
     TimePoint startedAt;
     TimePoint deadline;
-    bool isPinned = false; ///< holds one pin of `which`
+    bool isPinned = false; ///< holds one pin of `adapterVersion`
     bool isAtMostOnce = false;
     bool isCancelling = false;
     bool isObsolete = false; ///< sent to an earlier engine incarnation
--- a/src/residency/order_tracker.h
+++ b/src/residency/order_tracker.h
@@ -14,7 +14,7 @@
 {
     OrderHandle handle;
     OrderKind kind = OrderKind::List;
-    AdapterVersion which;
+    AdapterVersion adapterVersion;
     TimePoint sentAt;
     TimePoint replyDeadline; ///< the reply counts as lost from then on
 };
@@ -24,10 +24,10 @@
 class OrderTracker
 {
 public:
-    OrderHandle open(OrderKind kind, const AdapterVersion &which, TimePoint now, Duration replyTimeout)
+    OrderHandle open(OrderKind kind, const AdapterVersion &adapterVersion, TimePoint now, Duration replyTimeout)
     {
         const OrderHandle handle{++lastNumber_};
-        openOrders_.push_back(OpenOrder{handle, kind, which, now, now + replyTimeout});
+        openOrders_.push_back(OpenOrder{handle, kind, adapterVersion, now, now + replyTimeout});
         return handle;
     }
     /// Removes and returns the order. Returns none if it is not open, as for a duplicate or late reply.
--- a/src/residency/sidecar.cpp
+++ b/src/residency/sidecar.cpp
@@ -177,7 +177,7 @@
         due.at(nextDeadlineCheckAt_);
     }
     const PeerHandle schedulerPeer = scheduler();
-    for (const auto &[which, record] : adapters_.records()) {
+    for (const auto &[adapterVersion, record] : adapters_.records()) {
         const bool isLoadWaiting = record.waiting != 0 && !record.occupiesSlot();
         if (isLoadWaiting && (!schedulerPeer || isSchedulerSuspect_)) {
             due.at(std::max(record.earliestLoadAt, nextLocalLoadAt_));
@@ -319,7 +319,7 @@
 std::vector<wire::AdapterState> SidecarDecisions::adapters() const
 {
     std::vector<wire::AdapterState> states;
-    for (const auto &[which, record] : impl_->adapters_.records()) {
+    for (const auto &[adapterVersion, record] : impl_->adapters_.records()) {
         states.push_back(impl_->makeAdapterState(record));
     }
     return states;
--- a/src/residency/sidecar.h
+++ b/src/residency/sidecar.h
@@ -38,7 +38,7 @@
 /// Load decided on by a grant, or by this sidecar while it receives no messages from a scheduler.
 struct PlannedLoad
 {
-    AdapterVersion which;
+    AdapterVersion adapterVersion;
     SlotClaim claim;
     bool isGranted = false;
     PeerHandle scheduler;
@@ -52,7 +52,7 @@
 /// Summary of the waiting calls of one absent adapter.
 struct Demand
 {
-    AdapterVersion which;
+    AdapterVersion adapterVersion;
     std::uint32_t waiting = 0;
     CallClass highestClass = CallClass::Bulk;
     TimePoint oldestArrival = TimePoint::max();
@@ -190,8 +190,8 @@
     void removeWaiting(CallQueue::Iterator it);
 
     // sidecar_orders.cpp: engine orders and state
-    OrderHandle openOrder(OrderKind kind, const AdapterVersion &which, Now now);
-    void emitOrder(OrderHandle handle, OrderKind kind, const AdapterVersion &which);
+    OrderHandle openOrder(OrderKind kind, const AdapterVersion &adapterVersion, Now now);
+    void emitOrder(OrderHandle handle, OrderKind kind, const AdapterVersion &adapterVersion);
     void pollEngine(Now now);
     std::optional<TimePoint> nextListAt() const;
     void onOrderDone(OrderHandle handle, OrderOutcome outcome, Now now);
@@ -223,12 +223,12 @@
     void planLocalLoad(const std::vector<Demand> &demands, Now now);
     AdapterRecord *findVictim(const SlotClaim &claim, TimePoint now);
     std::vector<Demand> collectDemands(TimePoint now) const;
-    bool hasPlannedLoad(const AdapterVersion &which) const;
+    bool hasPlannedLoad(const AdapterVersion &adapterVersion) const;
     static bool exceedsStarvationBound(TimePoint since, TimePoint deadline, TimePoint now);
     SlotClaim makeClaim(const Demand &demand, TimePoint now) const;
     void evict(AdapterRecord &record, Now now);
     void startLoad(PlannedLoad &plannedLoad, AdapterRecord &record, Now now);
-    void finishLoad(const AdapterVersion &which, OrderOutcome outcome, Now now);
+    void finishLoad(const AdapterVersion &adapterVersion, OrderOutcome outcome, Now now);
     void reportGrant(const PlannedLoad &plannedLoad, OrderOutcome outcome, TimePoint now);
     void onLoadFailed(AdapterRecord &record, OrderOutcome outcome, Now now);
     void onGrant(PeerHandle from, const wire::LoadGrant &grant, Now now);
@@ -236,20 +236,20 @@
     void chooseYieldingAdapter(const std::vector<Demand> &demands, Now now);
 
     // sidecar_heartbeats.cpp: heartbeats
-    void markChanged(const AdapterVersion &which, bool isUrgent);
+    void markChanged(const AdapterVersion &adapterVersion, bool isUrgent);
     void sendHeartbeats(Now now);
     std::optional<TimePoint> nextHeartbeatDue() const;
     wire::Heartbeat makeHeartbeat(TimePoint now);
     Duration heartbeatInterval() const;
     bool hasUpdates(const wire::Heartbeat &base, TimePoint now) const;
     void addChanges(wire::Heartbeat &delta);
-    ResidencyState currentState(const AdapterVersion &which) const;
+    ResidencyState currentState(const AdapterVersion &adapterVersion) const;
     wire::Heartbeat makeFullHeartbeat(const wire::Heartbeat &base) const;
     static std::uint64_t digestWithoutLoad(const wire::Heartbeat &heartbeat);
     wire::Beat makeBeat(const wire::Heartbeat &heartbeat) const;
     double victimValue(TimePoint now);
     wire::AdapterState makeAdapterState(const AdapterRecord &record) const;
-    static wire::AdapterState makeAbsentState(const AdapterVersion &which);
+    static wire::AdapterState makeAbsentState(const AdapterVersion &adapterVersion);
     void addDemands(wire::Heartbeat &into, TimePoint now);
 
     SidecarInit init_;
--- a/src/residency/sidecar_admission.cpp
+++ b/src/residency/sidecar_admission.cpp
@@ -84,8 +84,8 @@
 
 void SidecarDecisions::Impl::enqueue(WaitingCall call, Now now)
 {
-    if (!call.which.empty()) {
-        auto &record = adapters_.add(call.which);
+    if (!call.adapterVersion.empty()) {
+        auto &record = adapters_.add(call.adapterVersion);
         record.demand.add(now.mono, evictionRules_.demandTimeConstant);
         record.isUrgent = call.callClass == CallClass::Urgent;
         record.lastUsed = now.mono;
@@ -97,7 +97,7 @@
         ++record.waiting;
         call.record = &record;
         call.hasWaitedForAdapter = record.state != ResidencyState::Resident;
-        markChanged(call.which, call.hasWaitedForAdapter && record.waiting == 1);
+        markChanged(call.adapterVersion, call.hasWaitedForAdapter && record.waiting == 1);
     }
     call.execution = ExecutionHandle{++lastExecution_};
     queue_.push(std::move(call));
@@ -142,7 +142,7 @@
 
 std::optional<RefusalDetail> SidecarDecisions::Impl::checkAdapter(const WaitingCall &call, TimePoint now)
 {
-    const auto *record = adapters_.find(call.which);
+    const auto *record = adapters_.find(call.adapterVersion);
     if (record != nullptr && record->isQuarantined && now < record->earliestLoadAt) {
         return RefusalDetail{RefusalReason::AdapterQuarantined, true, retryDelayUntil(record->earliestLoadAt, now)};
     }
@@ -151,8 +151,9 @@
 
 std::optional<RefusalDetail> SidecarDecisions::Impl::checkCapacity(const WaitingCall &call, TimePoint now)
 {
-    const auto *record = adapters_.find(call.which);
-    const bool needsLoad = !call.which.empty() && (record == nullptr || record->state != ResidencyState::Resident);
+    const auto *record = adapters_.find(call.adapterVersion);
+    const bool needsLoad =
+        !call.adapterVersion.empty() && (record == nullptr || record->state != ResidencyState::Resident);
     const Duration wait = std::max(queueDelay(call.callClass, now), needsLoad ? loadDelay(now) : Duration(0));
     const bool isUnreachable =
         init_.overload.refuseUnreachable && wait > Duration(0) && now + wait + serviceTime_.at(now) > call.deadline;
@@ -186,7 +187,7 @@
     WaitingCall call;
     call.request = request;
     call.listeners.push_back({from, AttemptKey::fromWire(request.id()), request.credit_bytes()});
-    call.which = {request.adapter(), request.version()};
+    call.adapterVersion = {request.adapter(), request.version()};
     call.callClass = fromWire(request.call_class(), CallClass::Normal);
     call.arrivedAt = arrivedAt;
     // Prevents an overflow when a budget from the wire is added to a time.
--- a/src/residency/sidecar_calls.cpp
+++ b/src/residency/sidecar_calls.cpp
@@ -57,7 +57,7 @@
     WaitingCall call = queue_.remove(it);
     Execution execution;
     execution.handle = call.execution;
-    execution.which = call.which;
+    execution.adapterVersion = call.adapterVersion;
     execution.service = call.request.service();
     execution.key = call.request.key();
     execution.fingerprint = call.fingerprint;
@@ -70,7 +70,7 @@
         --record->waiting;
         // Pinning before the send prevents an eviction between the two, which would unload the adapter under the call.
         execution.isPinned = init_.safeguards.pinBeforeSend && adapters_.pin(*record, now.mono);
-        markChanged(call.which, false);
+        markChanged(call.adapterVersion, false);
     }
     recordStall(call, call.request, now.mono);
     const auto &first = call.listeners.front();
@@ -107,7 +107,7 @@
     if (execution == nullptr || execution->isPinned || execution->isObsolete) {
         return;
     }
-    if (auto *record = adapters_.find(execution->which)) {
+    if (auto *record = adapters_.find(execution->adapterVersion)) {
         execution->isPinned = adapters_.pin(*record, now.mono);
     }
 }
@@ -131,7 +131,7 @@
 
 void SidecarDecisions::Impl::releasePin(Execution &execution, const CachedAnswer &answer, Now now)
 {
-    auto *record = adapters_.find(execution.which);
+    auto *record = adapters_.find(execution.adapterVersion);
     if (record == nullptr || !execution.isPinned) {
         return;
     }
@@ -139,10 +139,10 @@
     if (hasEndpointFinished(answer)) {
         adapters_.unpin(*record);
         // If the last demands reported that no slot can be freed, the scheduler is notified of the free one at once.
-        markChanged(execution.which, hasSentBlockedDemand_ && !record->mayHaveRunningCalls());
+        markChanged(execution.adapterVersion, hasSentBlockedDemand_ && !record->mayHaveRunningCalls());
         return;
     }
-    markChanged(execution.which, false);
+    markChanged(execution.adapterVersion, false);
     // After a broken connection or a timeout the engine may continue with the call. The adapter stays protected until a
     // later list of the engine shows no running call.
     adapters_.convertPinToOrphan(*record, orders_.lastNumber(), now.mono);
@@ -275,7 +275,7 @@
     }
     if (call.record != nullptr) {
         --call.record->waiting;
-        markChanged(call.which, false);
+        markChanged(call.adapterVersion, false);
     }
 }
 
--- a/src/residency/sidecar_heartbeats.cpp
+++ b/src/residency/sidecar_heartbeats.cpp
@@ -18,12 +18,12 @@
 
 } // namespace
 
-void SidecarDecisions::Impl::markChanged(const AdapterVersion &which, bool isUrgent)
+void SidecarDecisions::Impl::markChanged(const AdapterVersion &adapterVersion, bool isUrgent)
 {
-    if (which.empty()) {
+    if (adapterVersion.empty()) {
         return;
     }
-    changedAdapters_.insert(which);
+    changedAdapters_.insert(adapterVersion);
     isHeartbeatUrgent_ = isHeartbeatUrgent_ || isUrgent;
 }
 
@@ -104,9 +104,10 @@
 /// change with every call, and receivers only use the number of busy slots.
 bool SidecarDecisions::Impl::hasUpdates(const wire::Heartbeat &base, TimePoint now) const
 {
-    const bool hasStateChange = std::ranges::any_of(changedAdapters_, [this](const AdapterVersion &which) {
-        const auto lastSent = lastSentStates_.find(which);
-        return currentState(which) != (lastSent == lastSentStates_.end() ? ResidencyState::Absent : lastSent->second);
+    const bool hasStateChange = std::ranges::any_of(changedAdapters_, [this](const AdapterVersion &adapterVersion) {
+        const auto lastSent = lastSentStates_.find(adapterVersion);
+        return currentState(adapterVersion)
+               != (lastSent == lastSentStates_.end() ? ResidencyState::Absent : lastSent->second);
     });
     return hasStateChange || digestWithoutLoad(base) != lastSentDigest_ || now - lastUpdateAt_ >= maxUpdateInterval;
 }
@@ -116,22 +117,22 @@
 {
     lastSentDigest_ = digestWithoutLoad(delta);
     lastUpdateAt_ = lastHeartbeatAt_;
-    for (const auto &which : changedAdapters_) {
-        const auto *record = adapters_.find(which);
-        *delta.add_adapters() = record != nullptr ? makeAdapterState(*record) : makeAbsentState(which);
-        const auto state = currentState(which);
+    for (const auto &adapterVersion : changedAdapters_) {
+        const auto *record = adapters_.find(adapterVersion);
+        *delta.add_adapters() = record != nullptr ? makeAdapterState(*record) : makeAbsentState(adapterVersion);
+        const auto state = currentState(adapterVersion);
         if (state == ResidencyState::Absent) {
-            lastSentStates_.erase(which);
+            lastSentStates_.erase(adapterVersion);
         } else {
-            lastSentStates_[which] = state;
+            lastSentStates_[adapterVersion] = state;
         }
     }
     changedAdapters_.clear();
 }
 
-ResidencyState SidecarDecisions::Impl::currentState(const AdapterVersion &which) const
+ResidencyState SidecarDecisions::Impl::currentState(const AdapterVersion &adapterVersion) const
 {
-    const auto *record = adapters_.find(which);
+    const auto *record = adapters_.find(adapterVersion);
     return record != nullptr ? record->state : ResidencyState::Absent;
 }
 
@@ -139,7 +140,7 @@
 {
     wire::Heartbeat full = base;
     full.set_full(true);
-    for (const auto &[which, record] : adapters_.records()) {
+    for (const auto &[adapterVersion, record] : adapters_.records()) {
         if (record.occupiesSlot()) {
             *full.add_adapters() = makeAdapterState(record);
         }
@@ -232,18 +233,18 @@
 
 wire::AdapterState SidecarDecisions::Impl::makeAdapterState(const AdapterRecord &record) const
 {
-    wire::AdapterState state = makeAbsentState(record.which);
+    wire::AdapterState state = makeAbsentState(record.adapterVersion);
     state.set_state(static_cast<std::uint32_t>(record.state));
     state.set_pins(record.pins + record.orphanedCalls);
     state.set_waiting(record.waiting);
     return state;
 }
 
-wire::AdapterState SidecarDecisions::Impl::makeAbsentState(const AdapterVersion &which)
+wire::AdapterState SidecarDecisions::Impl::makeAbsentState(const AdapterVersion &adapterVersion)
 {
     wire::AdapterState state;
-    state.set_adapter(which.adapter);
-    state.set_version(which.version);
+    state.set_adapter(adapterVersion.adapter);
+    state.set_version(adapterVersion.version);
     state.set_state(static_cast<std::uint32_t>(ResidencyState::Absent));
     return state;
 }
@@ -254,7 +255,7 @@
     auto demands = collectDemands(now);
     demands.resize(std::min(demands.size(), maxDemands));
     for (const auto &demand : demands) {
-        const auto &record = adapters_.add(demand.which);
+        const auto &record = adapters_.add(demand.adapterVersion);
         if (record.earliestLoadAt > now) {
             continue;
         }
@@ -262,8 +263,8 @@
         const bool hasFreeSlot = mayTakeFreeSlot(adapters_, claim);
         const auto *victim = hasFreeSlot ? nullptr : findVictim(claim, now);
         auto &wireDemand = *into.add_demands();
-        wireDemand.set_adapter(demand.which.adapter);
-        wireDemand.set_version(demand.which.version);
+        wireDemand.set_adapter(demand.adapterVersion.adapter);
+        wireDemand.set_version(demand.adapterVersion.version);
         wireDemand.set_waiting(demand.waiting);
         wireDemand.set_call_class(static_cast<std::uint32_t>(demand.highestClass));
         wireDemand.set_oldest_wait_us(
--- a/src/residency/sidecar_loads.cpp
+++ b/src/residency/sidecar_loads.cpp
@@ -68,8 +68,8 @@
         if (call.record == nullptr || call.record->occupiesSlot() || call.listeners.empty()) {
             continue;
         }
-        auto &demand = byAdapter[call.which];
-        demand.which = call.which;
+        auto &demand = byAdapter[call.adapterVersion];
+        demand.adapterVersion = call.adapterVersion;
         ++demand.waiting;
         demand.highestClass = std::min(demand.highestClass, call.callClass);
         demand.oldestArrival = std::min(demand.oldestArrival, call.arrivedAt);
@@ -80,7 +80,7 @@
     }
     std::vector<Demand> result = prefetchDemands(now);
     result.reserve(result.size() + byAdapter.size());
-    for (auto &[which, demand] : byAdapter) {
+    for (auto &[adapterVersion, demand] : byAdapter) {
         result.push_back(std::move(demand));
     }
     std::ranges::stable_sort(result, std::ranges::greater{}, &Demand::gain);
@@ -107,9 +107,9 @@
     return claim;
 }
 
-bool SidecarDecisions::Impl::hasPlannedLoad(const AdapterVersion &which) const
+bool SidecarDecisions::Impl::hasPlannedLoad(const AdapterVersion &adapterVersion) const
 {
-    return std::ranges::find(plannedLoads_, which, &PlannedLoad::which) != plannedLoads_.end();
+    return std::ranges::find(plannedLoads_, adapterVersion, &PlannedLoad::adapterVersion) != plannedLoads_.end();
 }
 
 AdapterRecord *SidecarDecisions::Impl::findVictim(const SlotClaim &claim, TimePoint now)
@@ -146,7 +146,7 @@
 
 void SidecarDecisions::Impl::clearYielding()
 {
-    for (auto &[which, record] : adapters_.records()) {
+    for (auto &[adapterVersion, record] : adapters_.records()) {
         record.isYielding = false;
     }
 }
@@ -155,15 +155,15 @@
 {
     for (const auto &demand : demands) {
         const auto claim = makeClaim(demand, now.mono);
-        const auto &record = adapters_.add(demand.which);
-        if (record.earliestLoadAt > now.mono || hasPlannedLoad(demand.which)) {
+        const auto &record = adapters_.add(demand.adapterVersion);
+        if (record.earliestLoadAt > now.mono || hasPlannedLoad(demand.adapterVersion)) {
             continue;
         }
         if (!mayTakeFreeSlot(adapters_, claim) && findVictim(claim, now.mono) == nullptr) {
             continue;
         }
         PlannedLoad plannedLoad;
-        plannedLoad.which = demand.which;
+        plannedLoad.adapterVersion = demand.adapterVersion;
         plannedLoad.claim = claim;
         plannedLoad.plannedAt = now.mono;
         plannedLoads_.push_back(std::move(plannedLoad));
@@ -202,7 +202,7 @@
     if (!isAdmitting()) {
         return OrderOutcome::Expired;
     }
-    auto &record = adapters_.add(plannedLoad.which);
+    auto &record = adapters_.add(plannedLoad.adapterVersion);
     if (record.state == ResidencyState::Resident || record.state == ResidencyState::Loading) {
         return OrderOutcome::Done;
     }
@@ -228,27 +228,27 @@
 
 void SidecarDecisions::Impl::evict(AdapterRecord &record, Now now)
 {
-    const auto handle = openOrder(OrderKind::Unload, record.which, now);
+    const auto handle = openOrder(OrderKind::Unload, record.adapterVersion, now);
     if (!adapters_.beginEviction(record, handle)) {
         orders_.close(handle);
         return;
     }
-    emitOrder(handle, OrderKind::Unload, record.which);
-    markChanged(record.which, true);
+    emitOrder(handle, OrderKind::Unload, record.adapterVersion);
+    markChanged(record.adapterVersion, true);
 }
 
 void SidecarDecisions::Impl::startLoad(PlannedLoad &plannedLoad, AdapterRecord &record, Now now)
 {
-    plannedLoad.order = openOrder(OrderKind::Load, record.which, now);
+    plannedLoad.order = openOrder(OrderKind::Load, record.adapterVersion, now);
     adapters_.beginLoad(record, plannedLoad.order);
     record.lastUsed = now.mono;
-    emitOrder(plannedLoad.order, OrderKind::Load, record.which);
-    markChanged(record.which, true);
+    emitOrder(plannedLoad.order, OrderKind::Load, record.adapterVersion);
+    markChanged(record.adapterVersion, true);
 }
 
-void SidecarDecisions::Impl::finishLoad(const AdapterVersion &which, OrderOutcome outcome, Now now)
+void SidecarDecisions::Impl::finishLoad(const AdapterVersion &adapterVersion, OrderOutcome outcome, Now now)
 {
-    const auto it = std::ranges::find(plannedLoads_, which, &PlannedLoad::which);
+    const auto it = std::ranges::find(plannedLoads_, adapterVersion, &PlannedLoad::adapterVersion);
     if (it == plannedLoads_.end() || !it->order) {
         return;
     }
@@ -266,8 +266,8 @@
     auto &result = *message.mutable_load_result();
     result.set_fence(plannedLoad.fence);
     result.set_grant(plannedLoad.grant);
-    result.set_adapter(plannedLoad.which.adapter);
-    result.set_version(plannedLoad.which.version);
+    result.set_adapter(plannedLoad.adapterVersion.adapter);
+    result.set_version(plannedLoad.adapterVersion.version);
     result.set_outcome(static_cast<std::uint32_t>(outcome));
     result.set_took_us(static_cast<std::uint64_t>((now - plannedLoad.plannedAt).count()));
     result.mutable_from()->set_name(init_.name);
@@ -289,9 +289,10 @@
         const Duration backoff = exponentialDelay(minBackoff, record.loadFailures - 1, maxBackoff);
         record.earliestLoadAt = now.mono + backoff / 2 + random_.jitter(backoff);
         const auto nextAttemptAt = record.earliestLoadAt + loadTime_.at(now.mono);
-        refuseWaiting(
-            {RefusalReason::AdapterUnavailable, true, record.earliestLoadAt - now.mono},
-            [&](const WaitingCall &call) { return call.which == record.which && call.deadline <= nextAttemptAt; });
+        refuseWaiting({RefusalReason::AdapterUnavailable, true, record.earliestLoadAt - now.mono},
+                      [&](const WaitingCall &call) {
+                          return call.adapterVersion == record.adapterVersion && call.deadline <= nextAttemptAt;
+                      });
         return;
     }
     // Prevents a version that keeps failing from using up the weight store's rate. Its callers are refused at once, and
@@ -302,7 +303,7 @@
     stats_.quarantines += static_cast<std::uint64_t>(!record.isQuarantined);
     record.isQuarantined = true;
     refuseWaiting({RefusalReason::AdapterQuarantined, true, quarantine},
-                  [&](const WaitingCall &call) { return call.which == record.which; });
+                  [&](const WaitingCall &call) { return call.adapterVersion == record.adapterVersion; });
 }
 
 void SidecarDecisions::Impl::onGrant(PeerHandle from, const wire::LoadGrant &grant, Now now)
@@ -317,7 +318,7 @@
         recentGrants_.erase(recentGrants_.begin());
     }
     PlannedLoad plannedLoad;
-    plannedLoad.which = {grant.adapter(), grant.version()};
+    plannedLoad.adapterVersion = {grant.adapter(), grant.version()};
     plannedLoad.isGranted = true;
     plannedLoad.scheduler = from;
     plannedLoad.fence = grant.fence();
@@ -332,7 +333,7 @@
     onSchedulerMessage(from, grant.fence(), now.mono);
     lastGrantAt_ = now.mono;
     const auto demands = collectDemands(now.mono);
-    const auto it = std::ranges::find(demands, plannedLoad.which, &Demand::which);
+    const auto it = std::ranges::find(demands, plannedLoad.adapterVersion, &Demand::adapterVersion);
     plannedLoad.claim = makeClaim(it == demands.end() ? Demand{} : *it, now.mono);
     plannedLoad.claim.isGranted = true;
     plannedLoads_.push_back(std::move(plannedLoad));
@@ -360,13 +361,14 @@
 void SidecarDecisions::Impl::chooseYieldingAdapter(const std::vector<Demand> &demands, Now now)
 {
     const auto starvingDemand = std::ranges::find_if(demands, [&](const Demand &demand) {
-        return makeClaim(demand, now.mono).isStarving && adapters_.add(demand.which).earliestLoadAt <= now.mono;
+        return makeClaim(demand, now.mono).isStarving
+               && adapters_.add(demand.adapterVersion).earliestLoadAt <= now.mono;
     });
     const bool isSlotNeeded = starvingDemand != demands.end()
                               && !mayTakeFreeSlot(adapters_, makeClaim(*starvingDemand, now.mono))
                               && findVictim(makeClaim(*starvingDemand, now.mono), now.mono) == nullptr;
     AdapterRecord *candidate = nullptr;
-    for (auto &[which, record] : adapters_.records()) {
+    for (auto &[adapterVersion, record] : adapters_.records()) {
         if (record.isYielding && isSlotNeeded && record.state == ResidencyState::Resident) {
             return; // at most one adapter yields at a time
         }
--- a/src/residency/sidecar_orders.cpp
+++ b/src/residency/sidecar_orders.cpp
@@ -15,35 +15,35 @@
 // Minimum delay of a list after a broken connection: a call sent just before may not be running yet.
 constexpr Duration minListDelay = Milliseconds(500);
 
-std::uint32_t countRunningCalls(const EngineList &list, const AdapterVersion &which)
+std::uint32_t countRunningCalls(const EngineList &list, const AdapterVersion &adapterVersion)
 {
     std::uint32_t count = 0;
     for (const auto &[adapter, running] : list.running) {
-        count += adapter == which ? running : 0;
+        count += adapter == adapterVersion ? running : 0;
     }
     return count;
 }
 
 } // namespace
 
-void SidecarDecisions::Impl::emitOrder(OrderHandle handle, OrderKind kind, const AdapterVersion &which)
+void SidecarDecisions::Impl::emitOrder(OrderHandle handle, OrderKind kind, const AdapterVersion &adapterVersion)
 {
     SendOrder order;
     order.order = handle;
     order.kind = kind;
-    order.which = which;
+    order.adapterVersion = adapterVersion;
     order.fence = recovery_.fence();
     order.timeout = kind == OrderKind::List ? listTimeout : init_.orderTimeout;
     if (kind == OrderKind::Load && init_.config != nullptr) {
-        order.weights = init_.config->weights(which);
+        order.weights = init_.config->weights(adapterVersion);
     }
     actions_.emplace_back(std::move(order));
 }
 
-OrderHandle SidecarDecisions::Impl::openOrder(OrderKind kind, const AdapterVersion &which, Now now)
+OrderHandle SidecarDecisions::Impl::openOrder(OrderKind kind, const AdapterVersion &adapterVersion, Now now)
 {
     const Duration timeout = kind == OrderKind::List ? listTimeout : init_.orderTimeout;
-    return orders_.open(kind, which, now.mono, timeout + replyGrace);
+    return orders_.open(kind, adapterVersion, now.mono, timeout + replyGrace);
 }
 
 void SidecarDecisions::Impl::pollEngine(Now now)
@@ -75,7 +75,7 @@
     if (!isEndpointUp_) {
         addDue(lastListAt_ + retryDelay);
     }
-    for (const auto &[which, record] : adapters_.records()) {
+    for (const auto &[adapterVersion, record] : adapters_.records()) {
         if (record.orphanedCalls != 0) {
             const Duration delay = record.pins != 0 ? busyPollInterval : pollInterval;
             const TimePoint earliestListAt = record.orphanedAt + minListDelay;
@@ -105,7 +105,7 @@
         nextOrderAt_ = outcome == OrderOutcome::Done ? now.mono : now.mono + random_.jitter(retryDelay);
         return;
     }
-    auto *record = adapters_.find(order->which);
+    auto *record = adapters_.find(order->adapterVersion);
     if (record == nullptr || record->order != handle) {
         return;
     }
@@ -114,7 +114,7 @@
     } else {
         onUnloadDone(*record, *order, outcome, now);
     }
-    markChanged(order->which, true);
+    markChanged(order->adapterVersion, true);
     if (outcome == OrderOutcome::FencedOff) {
         // Another process with a larger fencing number controls this endpoint.
         drain(now);
@@ -136,7 +136,7 @@
         adapters_.setState(record, ResidencyState::Absent, orderNumber, now.mono);
         onLoadFailed(record, outcome, now);
     }
-    finishLoad(order.which, outcome, now);
+    finishLoad(order.adapterVersion, outcome, now);
 }
 
 void SidecarDecisions::Impl::recordLoad(AdapterRecord &record, Duration duration, TimePoint now)
@@ -209,25 +209,25 @@
 void SidecarDecisions::Impl::applyList(const OpenOrder &order, const EngineList &list, bool endsRecovery, Now now)
 {
     const std::set<AdapterVersion> loaded(list.loaded.begin(), list.loaded.end());
-    for (const auto &which : loaded) {
-        if (!which.empty()) {
-            adapters_.add(which);
+    for (const auto &adapterVersion : loaded) {
+        if (!adapterVersion.empty()) {
+            adapters_.add(adapterVersion);
         }
     }
-    for (auto &[which, record] : adapters_.records()) {
+    for (auto &[adapterVersion, record] : adapters_.records()) {
         const auto previousState = record.state;
-        const auto runningCalls = countRunningCalls(list, which);
+        const auto runningCalls = countRunningCalls(list, adapterVersion);
         releaseOrphans(record, order, runningCalls);
         const bool isRequestedAfterChange =
             order.handle.value > record.changeOrderNumber || !init_.safeguards.listAfterChange;
         if (isRequestedAfterChange) {
-            resolveFromList(record, order, loaded.contains(which), now);
+            resolveFromList(record, order, loaded.contains(adapterVersion), now);
         }
         if (previousState != ResidencyState::Resident && record.state == ResidencyState::Resident) {
             adoptOrphans(record, order, runningCalls, endsRecovery);
         }
         if (previousState != record.state) {
-            markChanged(which, true);
+            markChanged(adapterVersion, true);
         }
     }
 }
@@ -239,7 +239,7 @@
     const bool isConclusive = isRequestedAfterOrphan || !init_.safeguards.listAfterChange;
     if (record.orphanedCalls != 0 && isConclusive && runningCalls == 0) {
         record.orphanedCalls = 0;
-        markChanged(record.which, false);
+        markChanged(record.adapterVersion, false);
     }
 }
 
@@ -349,14 +349,14 @@
             cancel(execution, FailureReason::EndpointRestarted);
         }
     }
-    for (auto &[which, record] : adapters_.records()) {
+    for (auto &[adapterVersion, record] : adapters_.records()) {
         if (!record.occupiesSlot()) {
             continue;
         }
         record.pins = 0;
         record.orphanedCalls = 0;
         record.isYielding = false;
-        markChanged(which, true);
+        markChanged(adapterVersion, true);
         // An order in flight may have been sent to the new engine process before the restart was detected.
         if (const auto order = orders_.close(record.order)) {
             adapters_.setUnknown(record, order->kind, order->sentAt + init_.orderTimeout, orderNumber);
@@ -369,11 +369,11 @@
     std::vector<AdapterVersion> loadingAdapters;
     for (const auto &plannedLoad : plannedLoads_) {
         if (plannedLoad.order) {
-            loadingAdapters.push_back(plannedLoad.which);
+            loadingAdapters.push_back(plannedLoad.adapterVersion);
         }
     }
-    for (const auto &which : loadingAdapters) {
-        finishLoad(which, OrderOutcome::Unknown, now);
+    for (const auto &adapterVersion : loadingAdapters) {
+        finishLoad(adapterVersion, OrderOutcome::Unknown, now);
     }
     recovery_.onEngineRestarted();
     phaseOrderNumber_ = orderNumber;
--- a/src/residency/sidecar_versions.cpp
+++ b/src/residency/sidecar_versions.cpp
@@ -120,12 +120,12 @@
 
 void SidecarDecisions::Impl::markSuperseded()
 {
-    for (auto &[which, record] : adapters_.records()) {
+    for (auto &[adapterVersion, record] : adapters_.records()) {
         if (record.route.empty() || init_.config == nullptr) {
             continue;
         }
         const auto localRoute = init_.config->route(record.route);
-        record.isSuperseded = !localRoute || localRoute->target != which;
+        record.isSuperseded = !localRoute || localRoute->target != adapterVersion;
     }
 }
 
@@ -135,12 +135,12 @@
     if (init_.config == nullptr) {
         return;
     }
-    for (const auto &[which, record] : adapters_.records()) {
+    for (const auto &[adapterVersion, record] : adapters_.records()) {
         const auto localRoute = record.route.empty() ? std::nullopt : init_.config->route(record.route);
-        if (!localRoute || localRoute->target != which || localRoute->nextVersion.empty()) {
+        if (!localRoute || localRoute->target != adapterVersion || localRoute->nextVersion.empty()) {
             continue;
         }
-        prefetch_.insert_or_assign({which.adapter, localRoute->nextVersion}, which);
+        prefetch_.insert_or_assign({adapterVersion.adapter, localRoute->nextVersion}, adapterVersion);
     }
 }
 
@@ -157,7 +157,7 @@
             continue;
         }
         Demand demand;
-        demand.which = next;
+        demand.adapterVersion = next;
         demand.oldestArrival = now;
         demand.gain = prefetchWeight * retentionValue(*currentRecord, loadTime_.at(now), evictionRules_, now);
         result.push_back(std::move(demand));
--- a/src/state/config_store.cpp
+++ b/src/state/config_store.cpp
@@ -328,14 +328,14 @@
     return impl_->table.policy();
 }
 
-std::string ConfigStore::weights(const AdapterVersion &which) const
+std::string ConfigStore::weights(const AdapterVersion &adapterVersion) const
 {
-    const auto form = impl_->table.find(RecordKind::Adapter, which.adapter);
+    const auto form = impl_->table.find(RecordKind::Adapter, adapterVersion.adapter);
     if (!form) {
         return {};
     }
     for (const auto &version : form->versions) {
-        if (version.name == which.version) {
+        if (version.name == adapterVersion.version) {
             return form->schemaVersion == 1 ? expandVersion(version.weights, version.name) : version.weights;
         }
     }
--- a/tests/faults/link.cpp
+++ b/tests/faults/link.cpp
@@ -283,7 +283,7 @@
         from.pendingActions.push_back([this, &from, order] { sendOrder(from, order); });
         return;
     }
-    trace(from.name + " -> engine " + std::string(toString(order.kind)) + " " + order.which.text());
+    trace(from.name + " -> engine " + std::string(toString(order.kind)) + " " + order.adapterVersion.text());
     const FaultEffect effect = injectFaults(stepOf(order.kind), from);
     if (from.isPaused || from.isTerminating) {
         sendOrder(from, order);
@@ -369,9 +369,9 @@
 void Simulation::runAtEndpoint(const std::string &sidecar, const StartExecution &start, TimePoint decided, bool isCut)
 {
     Node &sidecarNode = node(sidecar);
-    const AdapterVersion which{start.request.adapter(), start.request.version()};
+    const AdapterVersion adapterVersion{start.request.adapter(), start.request.version()};
     const bool hasJustRestarted = time_ - sidecarNode.endpoint.restartedAt < restartDetectionTime;
-    if (!which.empty() && !sidecarNode.endpoint.loaded.contains(which) && hasJustRestarted) {
+    if (!adapterVersion.empty() && !sidecarNode.endpoint.loaded.contains(adapterVersion) && hasJustRestarted) {
         // A restarted engine rejects the unknown adapter. The sidecar must have detected the restart by the end of
         // this window.
         post(sidecar, hopDelay, [this, sidecar, handle = start.execution.value] {
@@ -386,7 +386,7 @@
     run.tryId = start.request.headers().empty() ? "" : start.request.headers(0).value();
     run.key = start.request.key();
     run.route = start.request.route();
-    run.adapter = which;
+    run.adapter = adapterVersion;
     run.isStream = start.request.stream();
     run.decidedAt = decided;
     run.engineIncarnation = sidecarNode.endpoint.incarnation;
--- a/tests/faults/stand_in_endpoint.h
+++ b/tests/faults/stand_in_endpoint.h
@@ -68,13 +68,13 @@
         }
         highestFence = std::max(highestFence, order.fence);
         if (order.kind == OrderKind::Load) {
-            return load(order.which);
+            return load(order.adapterVersion);
         }
         if (order.kind == OrderKind::Unload) {
-            if (countRunning(order.which, runs) != 0) {
-                violations->push_back("evicted under a running call: " + order.which.text() + " at " + name);
+            if (countRunning(order.adapterVersion, runs) != 0) {
+                violations->push_back("evicted under a running call: " + order.adapterVersion.text() + " at " + name);
             }
-            loaded.erase(order.which);
+            loaded.erase(order.adapterVersion);
         }
         return OrderOutcome::Done;
     }
@@ -84,32 +84,32 @@
         result.incarnation = incarnation;
         result.highestFence = checksFence ? highestFence : 0;
         result.loaded.assign(loaded.begin(), loaded.end());
-        for (const auto &which : loaded) {
-            if (const auto count = countRunning(which, runs); count != 0) {
-                result.running.emplace_back(which, count);
+        for (const auto &adapterVersion : loaded) {
+            if (const auto count = countRunning(adapterVersion, runs); count != 0) {
+                result.running.emplace_back(adapterVersion, count);
             }
         }
         return result;
     }
 
 private:
-    OrderOutcome load(const AdapterVersion &which)
+    OrderOutcome load(const AdapterVersion &adapterVersion)
     {
         if (std::exchange(failNextLoad, false)) {
             return OrderOutcome::Failed;
         }
-        if (loaded.size() >= slots && !loaded.contains(which)) {
-            violations->push_back("load without a free slot: " + which.text() + " at " + name);
+        if (loaded.size() >= slots && !loaded.contains(adapterVersion)) {
+            violations->push_back("load without a free slot: " + adapterVersion.text() + " at " + name);
             return OrderOutcome::Failed;
         }
-        loaded.insert(which);
+        loaded.insert(adapterVersion);
         return OrderOutcome::Done;
     }
-    std::uint32_t countRunning(const AdapterVersion &which, const std::vector<Run> &runs) const
+    std::uint32_t countRunning(const AdapterVersion &adapterVersion, const std::vector<Run> &runs) const
     {
         std::uint32_t count = 0;
         for (const auto &run : runs) {
-            count += run.isRunning && run.endpoint == name && run.adapter == which ? 1 : 0;
+            count += run.isRunning && run.endpoint == name && run.adapter == adapterVersion ? 1 : 0;
         }
         return count;
     }
--- a/tests/unit/endpoint_test.cpp
+++ b/tests/unit/endpoint_test.cpp
@@ -136,7 +136,7 @@
 {
     SendOrder order;
     order.kind = kind;
-    order.which = {"guest", "v1"};
+    order.adapterVersion = {"guest", "v1"};
     order.weights = "/w/guest";
     order.fence = 7;
     return order;
--- a/tests/unit/residency_faults_test.cpp
+++ b/tests/unit/residency_faults_test.cpp
@@ -14,9 +14,9 @@
     return init;
 }
 
-void makeResident(SidecarFixture &fixture, const AdapterVersion &which)
+void makeResident(SidecarFixture &fixture, const AdapterVersion &adapterVersion)
 {
-    fixture.call(which);
+    fixture.call(adapterVersion);
     fixture.answerOrders();
     fixture.end(fixture.started.back().execution, CallOutcome::Complete);
     fixture.started.clear();
@@ -196,7 +196,7 @@
     fixture.engine.highestFence = 40;
     SendOrder unload;
     unload.kind = OrderKind::Unload;
-    unload.which = lounge;
+    unload.adapterVersion = lounge;
     unload.fence = 40;
     fixture.recover();
     EXPECT_GE(fixture.engine.highestFence, 50U);
@@ -233,7 +233,7 @@
     EXPECT_EQ(fixture.refusalOf(fixture.call(lounge)), RefusalReason::Recovering);
     SendOrder unload;
     unload.kind = OrderKind::Unload;
-    unload.which = lounge;
+    unload.adapterVersion = lounge;
     fixture.engine.apply(unload);
     fixture.advance(Seconds(2));
     fixture.answerOrders();
@@ -312,7 +312,7 @@
     fixture.engine.restart();
     fixture.call(transit);
     const auto unload = fixture.takeOrder(OrderKind::Unload);
-    ASSERT_EQ(unload.which, lounge);
+    ASSERT_EQ(unload.adapterVersion, lounge);
     fixture.sidecar.onEngineReport({fixture.engine.incarnation, 0, 0, 0, {}}, fixture.now);
     fixture.collect();
     fixture.answerOrders();
--- a/tests/unit/residency_fixture.h
+++ b/tests/unit/residency_fixture.h
@@ -19,7 +19,7 @@
 struct RunningCall
 {
     ExecutionHandle execution;
-    AdapterVersion which;
+    AdapterVersion adapterVersion;
     wire::CallRequest request;
 };
 
@@ -46,38 +46,38 @@
         }
         highestFence = std::max(highestFence, order.fence);
         if (order.kind == OrderKind::Load) {
-            if (loaded.size() >= slots_ && !loaded.contains(order.which)) {
-                violations.push_back("load without a free slot: " + order.which.text());
+            if (loaded.size() >= slots_ && !loaded.contains(order.adapterVersion)) {
+                violations.push_back("load without a free slot: " + order.adapterVersion.text());
                 return OrderOutcome::Failed;
             }
-            loaded.insert(order.which);
+            loaded.insert(order.adapterVersion);
         }
         if (order.kind == OrderKind::Unload) {
-            if (runningCount(order.which) != 0) {
-                violations.push_back("unload under a running call: " + order.which.text());
+            if (runningCount(order.adapterVersion) != 0) {
+                violations.push_back("unload under a running call: " + order.adapterVersion.text());
             }
-            loaded.erase(order.which);
+            loaded.erase(order.adapterVersion);
         }
         return OrderOutcome::Done;
     }
     void run(const StartExecution &start)
     {
-        const AdapterVersion which{start.request.adapter(), start.request.version()};
-        if (!which.empty() && !loaded.contains(which)) {
+        const AdapterVersion adapterVersion{start.request.adapter(), start.request.version()};
+        if (!adapterVersion.empty() && !loaded.contains(adapterVersion)) {
             if (isRestartUndetected) {
                 return; // a restarted engine answers with an error
             }
-            violations.push_back("call on an adapter that is not loaded: " + which.text());
+            violations.push_back("call on an adapter that is not loaded: " + adapterVersion.text());
         }
-        running.push_back({start.execution, which, start.request});
+        running.push_back({start.execution, adapterVersion, start.request});
     }
     bool end(ExecutionHandle execution)
     {
         return std::erase_if(running, [&](const RunningCall &call) { return call.execution == execution; }) != 0;
     }
-    std::uint32_t runningCount(const AdapterVersion &which) const
+    std::uint32_t runningCount(const AdapterVersion &adapterVersion) const
     {
-        return static_cast<std::uint32_t>(std::ranges::count(running, which, &RunningCall::which));
+        return static_cast<std::uint32_t>(std::ranges::count(running, adapterVersion, &RunningCall::adapterVersion));
     }
     EngineList list() const
     {
@@ -85,9 +85,9 @@
         result.incarnation = incarnation;
         result.highestFence = highestFence;
         result.loaded.assign(loaded.begin(), loaded.end());
-        for (const auto &which : loaded) {
-            if (runningCount(which) != 0) {
-                result.running.emplace_back(which, runningCount(which));
+        for (const auto &adapterVersion : loaded) {
+            if (runningCount(adapterVersion) != 0) {
+                result.running.emplace_back(adapterVersion, runningCount(adapterVersion));
             }
         }
         return result;
@@ -244,15 +244,15 @@
         sidecar.onMessage(from, envelope, now);
         collect();
     }
-    wire::CallRequest request(const AdapterVersion &which, Duration budget = Seconds(30))
+    wire::CallRequest request(const AdapterVersion &adapterVersion, Duration budget = Seconds(30))
     {
         wire::CallRequest call;
         call.mutable_id()->set_entry_incarnation(7);
         call.mutable_id()->set_call(++lastCall);
         call.mutable_id()->set_attempt(1);
-        call.set_route("route-" + which.adapter);
-        call.set_adapter(which.adapter);
-        call.set_version(which.version);
+        call.set_route("route-" + adapterVersion.adapter);
+        call.set_adapter(adapterVersion.adapter);
+        call.set_version(adapterVersion.version);
         call.set_call_class(static_cast<std::uint32_t>(CallClass::Normal));
         call.set_idempotent(true);
         call.set_budget_us(static_cast<std::uint64_t>(budget.count()));
@@ -267,9 +267,9 @@
         *envelope.mutable_call_request() = call;
         message(from, envelope);
     }
-    std::uint64_t call(const AdapterVersion &which)
+    std::uint64_t call(const AdapterVersion &adapterVersion)
     {
-        const auto callRequest = request(which);
+        const auto callRequest = request(adapterVersion);
         send(callRequest);
         return callRequest.id().call();
     }
@@ -301,18 +301,18 @@
         sidecar.onExecutionEnded(execution, answer, 10, now);
         collect();
     }
-    wire::AdapterState state(const AdapterVersion &which) const
+    wire::AdapterState state(const AdapterVersion &adapterVersion) const
     {
         for (const auto &state : sidecar.adapters()) {
-            if (state.adapter() == which.adapter && state.version() == which.version) {
+            if (state.adapter() == adapterVersion.adapter && state.version() == adapterVersion.version) {
                 return state;
             }
         }
         return {};
     }
-    ResidencyState residency(const AdapterVersion &which) const
+    ResidencyState residency(const AdapterVersion &adapterVersion) const
     {
-        return fromWire(state(which).state(), ResidencyState::Absent);
+        return fromWire(state(adapterVersion).state(), ResidencyState::Absent);
     }
     std::optional<RefusalReason> refusalOf(std::uint64_t callNumber) const
     {
--- a/tests/unit/residency_loads_test.cpp
+++ b/tests/unit/residency_loads_test.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-wire::Envelope grantFor(const AdapterVersion &which, std::uint64_t fence, std::uint64_t number,
+wire::Envelope grantFor(const AdapterVersion &adapterVersion, std::uint64_t fence, std::uint64_t number,
                         std::uint64_t target = 50)
 {
     wire::Envelope envelope;
     auto &grant = *envelope.mutable_load_grant();
     grant.set_fence(fence);
     grant.set_grant(number);
-    grant.set_adapter(which.adapter);
-    grant.set_version(which.version);
+    grant.set_adapter(adapterVersion.adapter);
+    grant.set_version(adapterVersion.version);
     grant.set_valid_us(2'000'000);
     grant.set_target_incarnation(target);
     return envelope;
@@ -203,8 +203,8 @@
     init.slots = 2;
     SidecarFixture fixture(init);
     fixture.recover();
-    const auto serve = [&](const AdapterVersion &which) {
-        fixture.call(which);
+    const auto serve = [&](const AdapterVersion &adapterVersion) {
+        fixture.call(adapterVersion);
         fixture.answerOrders();
         fixture.end(fixture.started.back().execution, CallOutcome::Complete);
     };
@@ -217,7 +217,7 @@
     fixture.call(menus);
     fixture.advance(Seconds(2));
     ASSERT_FALSE(fixture.orders.empty());
-    EXPECT_EQ(fixture.orders[0].which, transit);
+    EXPECT_EQ(fixture.orders[0].adapterVersion, transit);
 }
 
 TEST(ResidencyLoads, NoThrashBetweenTwoAdaptersForOneSlot)
--- a/tests/unit/residency_test.cpp
+++ b/tests/unit/residency_test.cpp
@@ -15,7 +15,7 @@
     fixture.call(lounge);
     ASSERT_EQ(fixture.orders.size(), 1U);
     EXPECT_EQ(fixture.orders[0].kind, OrderKind::Load);
-    EXPECT_EQ(fixture.orders[0].which, lounge);
+    EXPECT_EQ(fixture.orders[0].adapterVersion, lounge);
     EXPECT_TRUE(fixture.started.empty());
 
     fixture.advance(Milliseconds(300));
--- a/tests/unit/residency_versions_test.cpp
+++ b/tests/unit/residency_versions_test.cpp
@@ -44,9 +44,10 @@
         fixture.sidecar.onConfigChanged(fixture.now);
         fixture.collect();
     }
-    wire::CallRequest requestAt(const AdapterVersion &which, std::uint64_t revision, Duration budget = Seconds(30))
+    wire::CallRequest requestAt(const AdapterVersion &adapterVersion, std::uint64_t revision,
+                                Duration budget = Seconds(30))
     {
-        auto request = fixture.request(which, budget);
+        auto request = fixture.request(adapterVersion, budget);
         request.set_config_revision(revision);
         return request;
     }
@@ -115,7 +116,7 @@
     setRoute("v2");
     EXPECT_FALSE(fixture.refusalOf(request.id().call()));
     ASSERT_EQ(fixture.orders.size(), 1U);
-    EXPECT_EQ(fixture.orders[0].which, loungeV2);
+    EXPECT_EQ(fixture.orders[0].adapterVersion, loungeV2);
 }
 
 TEST_F(Versions, HeldCallIsRefusedIfConfigurationDoesNotArrive)
