--- a/tests/unit/state_distribution_test.cpp
+++ b/tests/unit/state_distribution_test.cpp
@@ -55,7 +55,7 @@
 
 struct Cluster
 {
-    VirtualCluster cluster;
+    VirtualCluster virtualCluster;
     std::map<std::string, std::unique_ptr<Process>> processes;
 
     Process &add(const std::string &name, bool mayWatch);
@@ -74,16 +74,16 @@
         init.keyPrefix = "/t/";
         init.mayWatch = mayWatch;
         init.store = &store;
-        init.timers = &cluster.cluster.timers;
+        init.timers = &cluster.virtualCluster.timers;
         init.seed = hash64(name);
         ConfigDistributor::Callbacks callbacks;
-        callbacks.submit = cluster.cluster.makeClient([this](const KvReply &reply, Now at) {
+        callbacks.submit = cluster.virtualCluster.makeClient([this](const KvReply &reply, Now at) {
             distributor->onReply(reply, at);
             maxRevision = std::max(maxRevision, store.revision());
             hasReverted = hasReverted || store.revision() < maxRevision;
         });
         callbacks.sendToPeer = [&cluster, name](const std::string &to, const wire::Envelope &envelope) {
-            cluster.cluster.later(Milliseconds(1), [&cluster, name, to, envelope](Now at) {
+            cluster.virtualCluster.later(Milliseconds(1), [&cluster, name, to, envelope](Now at) {
                 auto &peer = *cluster.processes.at(to);
                 if (peer.isDisconnected) {
                     return;
@@ -109,7 +109,7 @@
 Process &Cluster::add(const std::string &name, bool mayWatch)
 {
     auto &process = processes[name] = std::make_unique<Process>(*this, name, mayWatch);
-    process->distributor->start(cluster.now());
+    process->distributor->start(virtualCluster.now());
     return *process;
 }
 
@@ -122,7 +122,7 @@
 /// Delivers every process's revision and age to all others twice a second, as heartbeats do.
 void Cluster::exchangeHeartbeats()
 {
-    cluster.later(Milliseconds(500), [this](Now at) {
+    virtualCluster.later(Milliseconds(500), [this](Now at) {
         for (const auto &[name, process] : processes) {
             for (const auto &[other, peer] : processes) {
                 if (name != other && !peer->isDisconnected && !process->isDisconnected) {
@@ -222,12 +222,12 @@
         cluster.add("sidecar-" + std::to_string(i), false);
     }
     cluster.exchangeHeartbeats();
-    cluster.cluster.run(Seconds(10));
-    Operator writer(cluster.cluster, "one");
+    cluster.virtualCluster.run(Seconds(10));
+    Operator writer(cluster.virtualCluster, "one");
     ASSERT_TRUE(writer.apply({adapter(1)}, "change-1"));
-    const TimePoint accepted = cluster.cluster.now().mono;
-    ASSERT_TRUE(cluster.cluster.runUntil(Seconds(12), [&] { return cluster.areAllAt(1); }));
-    EXPECT_LT(cluster.cluster.now().mono - accepted, Seconds(2));
+    const TimePoint accepted = cluster.virtualCluster.now().mono;
+    ASSERT_TRUE(cluster.virtualCluster.runUntil(Seconds(12), [&] { return cluster.areAllAt(1); }));
+    EXPECT_LT(cluster.virtualCluster.now().mono - accepted, Seconds(2));
     int watching = 0;
     for (const auto &[name, process] : cluster.processes) {
         watching += process->distributor->isWatching() ? 1 : 0;
@@ -235,10 +235,10 @@
     EXPECT_LE(watching, 2);
     EXPECT_GE(watching, 1);
     // When idle, no process becomes stale, and only watchers and candidates read from the service.
-    cluster.cluster.run(Seconds(60));
-    cluster.cluster.requests = 0;
-    cluster.cluster.run(Seconds(60));
-    EXPECT_LT(static_cast<double>(cluster.cluster.requests) / 60, 4.0);
+    cluster.virtualCluster.run(Seconds(60));
+    cluster.virtualCluster.requests = 0;
+    cluster.virtualCluster.run(Seconds(60));
+    EXPECT_LT(static_cast<double>(cluster.virtualCluster.requests) / 60, 4.0);
     for (const auto &[name, process] : cluster.processes) {
         EXPECT_FALSE(process->distributor->isStale()) << name;
     }
@@ -250,25 +250,25 @@
 {
     Cluster cluster;
     auto &old = cluster.add("entry-0", true);
-    Operator writer(cluster.cluster, "one");
+    Operator writer(cluster.virtualCluster, "one");
     for (int i = 0; i < 600; ++i) {
         ASSERT_TRUE(writer.apply({adapter(i)}, "change-" + std::to_string(i)));
     }
-    ASSERT_TRUE(cluster.cluster.runUntil(Seconds(20), [&] { return old.store.revision() == 600; }));
-    cluster.cluster.faultRule = [](const KvRequest &) { return KvFault::Down; };
+    ASSERT_TRUE(cluster.virtualCluster.runUntil(Seconds(20), [&] { return old.store.revision() == 600; }));
+    cluster.virtualCluster.faultRule = [](const KvRequest &) { return KvFault::Down; };
     auto &fresh = cluster.add("entry-1", true);
-    cluster.cluster.run(Seconds(1));
+    cluster.virtualCluster.run(Seconds(1));
     EXPECT_TRUE(fresh.distributor->isEmpty());
     EXPECT_TRUE(fresh.distributor->isStale());
     cluster.exchangeHeartbeats();
-    ASSERT_TRUE(cluster.cluster.runUntil(Seconds(10), [&] { return fresh.store.revision() == 600; }));
+    ASSERT_TRUE(cluster.virtualCluster.runUntil(Seconds(10), [&] { return fresh.store.revision() == 600; }));
     EXPECT_EQ(fresh.store.digest(), old.store.digest());
-    cluster.cluster.run(Seconds(60));
+    cluster.virtualCluster.run(Seconds(60));
     EXPECT_TRUE(old.distributor->isStale());
     EXPECT_TRUE(fresh.distributor->isStale()) << "peers cannot confirm one another";
-    cluster.cluster.faultRule = nullptr;
-    EXPECT_TRUE(cluster.cluster.runUntil(Seconds(60),
-                                         [&] { return !old.distributor->isStale() && !fresh.distributor->isStale(); }));
+    cluster.virtualCluster.faultRule = nullptr;
+    EXPECT_TRUE(cluster.virtualCluster.runUntil(
+        Seconds(60), [&] { return !old.distributor->isStale() && !fresh.distributor->isStale(); }));
 }
 
 // Under random faults no store may go back or diverge, and all must reach the head afterwards.
@@ -277,7 +277,7 @@
     Cluster cluster;
     Random random(*rc::gen::arbitrary<std::uint64_t>());
     std::uint64_t faultPercent = 0;
-    cluster.cluster.faultRule = [&](const KvRequest &) {
+    cluster.virtualCluster.faultRule = [&](const KvRequest &) {
         const std::array faults{KvFault::Down, KvFault::LostRequest, KvFault::LostReply};
         return random.uniformBelow(100) < faultPercent ? faults[random.uniformBelow(faults.size())] : KvFault::None;
     };
@@ -285,8 +285,8 @@
         cluster.add(name, name[0] == 'e');
     }
     cluster.exchangeHeartbeats();
-    Operator writer(cluster.cluster, "one");
-    Operator rival(cluster.cluster, "two");
+    Operator writer(cluster.virtualCluster, "one");
+    Operator rival(cluster.virtualCluster, "two");
     std::uint64_t accepted = 0;
     const int steps = *rc::gen::inRange(1, 30);
     for (int step = 0; step < steps; ++step) {
@@ -297,7 +297,7 @@
         const auto one = writer.awaitResult();
         const auto two = rival.awaitResult();
         accepted += (one ? 1 : 0) + (two ? 1 : 0);
-        cluster.cluster.run(Milliseconds(*rc::gen::inRange(1, 9000)));
+        cluster.virtualCluster.run(Milliseconds(*rc::gen::inRange(1, 9000)));
     }
     faultPercent = 0;
     cluster.processes["s0"]->isDisconnected = false;
@@ -305,7 +305,7 @@
     ++accepted;
     const auto head = writer.store.revision();
     RC_ASSERT(head >= accepted);
-    RC_ASSERT(cluster.cluster.runUntil(Seconds(90), [&] { return cluster.areAllAt(head); }));
+    RC_ASSERT(cluster.virtualCluster.runUntil(Seconds(90), [&] { return cluster.areAllAt(head); }));
     for (const auto &[name, process] : cluster.processes) {
         RC_ASSERT(!process->hasReverted);
         RC_ASSERT(process->store.digest() == writer.store.digest());
