--- a/include/anvilscale/direct.h
+++ b/include/anvilscale/direct.h
@@ -187,7 +187,7 @@
     Avoidance, ///< avoids failing or silent endpoints for a while
     Unreachable, ///< avoids engines that their sidecars report unreachable
     EarlyRefusal, ///< refuses calls that cannot start before their callers leave
-    LateRank, ///< gives calls that already miss their objective a lower rank at the engine
+    LateRank, ///< puts calls that can no longer meet their objective behind the others at the engine
     InTimeFirst, ///< loads adapters first whose calls can still meet their objective
     LoadWindow, ///< reduces concurrent loads while the weight store is slow
     LearnedReading, ///< measures how fast engines read prompts
@@ -215,8 +215,8 @@
     double homePenaltyMs = 200; ///< penalty for loading an absent adapter outside its home engine
     double remoteCentrePenaltyMs = 25; ///< penalty for another data centre, whose traffic is billed
     double failurePenaltyMs = 3000; ///< for an endpoint that fails every call; less in proportion
-    double avoidancePenaltyMs = 8000; ///< for an endpoint that is failing, silent or unreachable
-    std::uint32_t lateRankOffset = 4; ///< added to the rank of a call that already misses its objective
+    double avoidancePenaltyMs = 8000; ///< for an endpoint that has just failed, is silent or is unreachable
+    std::uint32_t lateRankOffset = 4; ///< added to the rank of a call that can no longer meet its objective
     std::bitset<enumCount<Mechanism>> disabled; ///< disabled mechanisms
 
     bool has(Mechanism mechanism) const
@@ -315,7 +315,7 @@
     std::string endpointId;
     std::string address;
     std::uint32_t priority = 0;
-    std::uint32_t version = 0; ///< minimum version of the adapter; 0: any
+    std::uint32_t version = 0; ///< required version of the adapter; 0 for any
     TimePoint deadline; ///< deadline of the caller
     bool holdAnswer = false; ///< another attempt may follow: forward only a complete, successful answer
 };
@@ -555,7 +555,8 @@
         "accepted", "already_holds", "conflict", "fenced_off", "other_incarnation", "rejected", "no_answer"};
 };
 
-/// Loads into one engine what the entries demand, within its slots and memory. Sends all orders to this engine.
+/// Loads into one engine what the entries demand, within its slots and memory. Invariant: no other process orders
+/// this engine.
 class AdapterController
 {
 public:
@@ -597,11 +598,11 @@
 class StatePublisher
 {
 public:
-    /// Sets the current engine state, including its `sequence`.
+    /// Sets the current engine state and assigns its `sequence`, which increases when more than load figures change.
     void update(const wire::DirectState &state);
     wire::Envelope buildMessage(PeerHandle entry);
-    /// The entry has reported which state it has, 0 for none; a lost state is sent again. Entries that never report
-    /// one do not support heartbeats and receive whole states.
+    /// The entry has reported which state it has, 0 for none; a lost state is sent again. Entries that have
+    /// not reported one may not support heartbeats and receive whole states.
     void onStateAcknowledged(PeerHandle entry, std::uint64_t sequence);
     void onEntryLost(PeerHandle entry);
 
--- a/src/daemon/direct_entry.h
+++ b/src/daemon/direct_entry.h
@@ -474,7 +474,7 @@
             nextSelectionAt_ = now + selectionInterval;
             selectSharedWatch(now);
         }
-        // Readiness is never withdrawn: an entry without the store or a sidecar still serves better than none.
+        // Only a drain withdraws readiness: an entry without the store or a sidecar still serves better than none.
         isReady_ = isReady_ || (isStoreRead_ && calls_.isReady(now));
         if (now >= nextMetricsAt_) {
             nextMetricsAt_ = now + metricsInterval;
--- a/src/daemon/direct_relay.h
+++ b/src/daemon/direct_relay.h
@@ -156,7 +156,7 @@
     static constexpr std::uint32_t statusGatewayTimeout = 504;
     // Maximum of answer bytes read from an endpoint and not yet sent to the caller.
     static constexpr std::size_t maxUnsentBytes = 256U << 10;
-    // Maximum of bytes for which an answer other than an event stream is held back until it is complete.
+    // Size beyond which a successful answer is forwarded before it is complete, unless another attempt may follow.
     static constexpr std::size_t maxHeldBytes = 256U << 10;
     // A running endpoint accepts a connection within milliseconds.
     static constexpr Duration connectTimeout = Milliseconds(400);
--- a/src/daemon/direct_sidecar.h
+++ b/src/daemon/direct_sidecar.h
@@ -103,8 +103,8 @@
     static constexpr Duration idleReportInterval = Milliseconds(200); // between reports while no load is in progress
     static constexpr Duration busyReportInterval = Milliseconds(25); // during a load, to report its end immediately
     static constexpr Duration loadLogInterval = Seconds(10); // between log lines of load times
-    // Entries treat three missing messages as a loss and one as a paused VM, so a few entries get messages at a shorter
-    // interval.
+    // Entries treat three missing messages as a loss and one as a sign of a paused VM. With few entries connected, all
+    // of them get messages more often, down to minStateInterval.
     static constexpr Duration maxUpdateInterval = Milliseconds(500);
     static constexpr Duration minStateInterval = Milliseconds(250);
     static constexpr Duration minUpdateInterval = Milliseconds(20); // regardless of the change of pending work
--- a/src/direct/adapter_controller_orders.cpp
+++ b/src/direct/adapter_controller_orders.cpp
@@ -21,7 +21,7 @@
 constexpr Duration settleTime = Milliseconds(300);
 // Larger than any clock step, for an engine that has seen a higher number from an earlier start.
 constexpr std::uint64_t fenceStep = 60'000;
-// How long an unanswered order may still be applied by the engine.
+// Time for which an unanswered order is treated as possibly still to be applied; the platform gives no bound.
 constexpr Duration lostOrderLifetime = Seconds(30);
 // Ratio to the usual answer time from which an answer counts as lost.
 constexpr double timeoutFactor = 8;
--- a/src/direct/direct_calls.cpp
+++ b/src/direct/direct_calls.cpp
@@ -121,10 +121,10 @@
     return entry != nullptr && entry->generation == call.endpointGeneration ? entry : nullptr;
 }
 
-std::uint32_t DirectCalls::Impl::namedVersion(const AdapterName &name) const
+std::uint32_t DirectCalls::Impl::publishedVersion(const AdapterName &name) const
 {
-    const auto found = namedVersions.find(name);
-    return found == namedVersions.end() ? 0 : found->second;
+    const auto found = publishedVersions.find(name);
+    return found == publishedVersions.end() ? 0 : found->second;
 }
 
 ChoiceQuery DirectCalls::Impl::buildQuery(const DirectCall &call, TimePoint now)
@@ -133,7 +133,7 @@
     query.info = &call.info;
     query.service = &call.service;
     query.isEngine = call.isEngine;
-    query.minVersion = namedVersion(call.adapterName());
+    query.minVersion = publishedVersion(call.adapterName());
     const auto *model = config->model(call.service, call.info.model);
     query.modelReload = model == nullptr ? Duration(0) : model->reload;
     query.canMeetObjective = now < call.arrivedAt + call.objective;
@@ -232,8 +232,8 @@
     ++call.attempt;
     // Requests the version published by the operator, so that an engine with an older one refuses the call.
     const auto query = buildQuery(call, now);
-    const auto named = query.minVersion;
-    call.version = named == 0 ? 0 : std::max(named, entry.heldVersion(name, now));
+    const auto published = query.minVersion;
+    call.version = published == 0 ? 0 : std::max(published, entry.heldVersion(name, now));
     entry.hasDemandChanged = true;
     const auto &reading = query.estimates->reading;
     const double backlog = WaitForecast(entry, query, now).backlogMs();
--- a/src/direct/direct_calls_impl.h
+++ b/src/direct/direct_calls_impl.h
@@ -88,7 +88,7 @@
     TimePoint configuredAt{}; // when the first configuration was applied
     RouteTable routes;
     EndpointTable endpoints;
-    std::map<AdapterName, std::uint32_t> namedVersions; // published by the operator
+    std::map<AdapterName, std::uint32_t> publishedVersions; // latest version published by the operator
     std::map<CallHandle, DirectCall> calls;
     std::map<std::string, RetryAllowance> retryAllowances; // by service
     std::map<std::string, ServiceEstimates> estimates; // by service
@@ -103,7 +103,7 @@
     TimePoint storeAnsweredAt{};
     std::map<std::string, TimePoint> avoidedWatchAddresses; // addresses, and until when each is avoided
 
-    std::uint32_t namedVersion(const AdapterName &name) const;
+    std::uint32_t publishedVersion(const AdapterName &name) const;
     ChoiceQuery buildQuery(const DirectCall &call, TimePoint now);
     std::uint32_t computeRank(const DirectCall &call, TimePoint now);
     void recordFirstByte(const DirectCall &call, EndpointEntry &entry, TimePoint now);
@@ -138,7 +138,7 @@
     void sendReadyCalls(const std::string &endpointId, TimePoint now);
     void checkDeadlines(TimePoint now);
     void checkWaitingCalls(TimePoint now);
-    bool missesDeadline(const DirectCall &call, TimePoint now);
+    bool missesFirstByteLimit(const DirectCall &call, TimePoint now);
     void sendDemands(TimePoint now);
     void sendDemand(EndpointEntry &entry, TimePoint now);
     wire::DirectDemand buildDemand(const EndpointEntry &entry, TimePoint now) const;
--- a/src/direct/direct_waits.cpp
+++ b/src/direct/direct_waits.cpp
@@ -10,8 +10,9 @@
 
 // Interval at which a waiting call is checked against its deadline.
 constexpr Duration waitCheckInterval = Milliseconds(250);
-// Minimum interval between demands while calls are running, so that a sidecar evicts no adapter in use.
-constexpr Duration minDemandInterval = Milliseconds(400);
+// Time since the last demand after which any change is sent, so that a sidecar evicts no adapter in use. Urgent changes
+// are sent at once.
+constexpr Duration demandChangeInterval = Milliseconds(400);
 // Changes of unread prompt tokens are sent sooner, to keep independent entries from sending long prompts to the same
 // engine at the same time.
 constexpr double unreadTokenStep = 3000;
@@ -58,7 +59,7 @@
 }
 
 // True if the adapter cannot be loaded before the caller leaves. An early refusal leaves the caller time to return.
-bool DirectCalls::Impl::missesDeadline(const DirectCall &call, TimePoint now)
+bool DirectCalls::Impl::missesFirstByteLimit(const DirectCall &call, TimePoint now)
 {
     const auto *entry = findEndpoint(call);
     if (entry == nullptr || !init.policy.has(Mechanism::EarlyRefusal)) {
@@ -79,7 +80,7 @@
         }
         call.nextCheckAt = now + waitCheckInterval;
         if (now > call.reevaluateAt || quarantine.isQuarantined(call.info.fingerprint, now)
-            || missesDeadline(call, now)) {
+            || missesFirstByteLimit(call, now)) {
             isDue.push_back(handle);
         }
     }
@@ -99,7 +100,7 @@
     std::vector<CallHandle> ready;
     for (const auto handle : entry->waitingCalls) {
         const auto name = calls.at(handle).adapterName();
-        if (entry->presence(name, namedVersion(name), now) == Presence::Resident) {
+        if (entry->presence(name, publishedVersion(name), now) == Presence::Resident) {
             ready.push_back(handle);
         }
     }
@@ -157,7 +158,7 @@
         auto &adapterDemand = items[name];
         adapterDemand.set_model(name.first);
         adapterDemand.set_adapter(name.second);
-        adapterDemand.set_least_version(namedVersion(name));
+        adapterDemand.set_least_version(publishedVersion(name));
         return adapterDemand;
     };
     for (const auto handle : entry.waitingCalls) {
@@ -175,7 +176,7 @@
     if (entry.hasFreshState(now)) {
         for (const auto &held : entry.state->adapters()) {
             const AdapterName name{held.model(), held.adapter()};
-            if (held.version() < namedVersion(name)) {
+            if (held.version() < publishedVersion(name)) {
                 demandOf(name); // a newer version is published: the held one has to be replaced
             }
         }
@@ -209,7 +210,7 @@
     entry.hasDemandChanged = serialized != sent.serialized;
     // A sidecar must not evict an adapter with a new call: the first call on an adapter is sent at once.
     const bool isUrgent = (!entry.waitingCalls.empty() || entry.hasUnsentRun) && serialized != sent.serialized;
-    const bool isDue = serialized != sent.serialized && now - sent.sentAt >= minDemandInterval;
+    const bool isDue = serialized != sent.serialized && now - sent.sentAt >= demandChangeInterval;
     const bool tokensChanged = std::abs(entry.unreadTokens - entry.lastSentUnreadTokens) >= unreadTokenStep
                                && now - sent.sentAt >= unreadTokenInterval;
     if (!hasNewPlan && !isUrgent && !isDue && !tokensChanged && !keepAliveDue) {
--- a/src/direct/endpoint_table.cpp
+++ b/src/direct/endpoint_table.cpp
@@ -28,7 +28,8 @@
 constexpr Duration initialAvoidance = Milliseconds(500);
 constexpr std::uint32_t maxDoublings = 3;
 
-// How long a removal counts for a record without a start time, whose id a later process may reuse.
+// Time for which a reappearing record of an endpoint removed while leaving still counts as leaving. Limited because a
+// later process may reuse the id without reporting a start time.
 constexpr Duration removalLifetime = Seconds(60);
 
 /// Finds an adapter in a sidecar's state, loaded or loading; nullptr if absent.
--- a/src/direct/endpoint_table.h
+++ b/src/direct/endpoint_table.h
@@ -36,7 +36,7 @@
     double unreadTokens = 0; // prompt tokens that the engine probably has to read for them
     double slowness = 1; // smoothed ratio of measured to estimated time to the first byte
     TimePoint slownessUpdatedAt{};
-    TimePoint silentSince{}; // time of the last byte while calls are unanswered
+    TimePoint silentSince{}; // last byte, or sending of the first unanswered call if that is later
     TimePoint avoidedUntil{};
     bool hasAnnouncedLeaving = false; // reported in its record or with an answer; not set by a removal of its record
     TimePoint pausedUntil{}; // accepts no calls of this entry until then
--- a/src/direct/endpoint_updates.cpp
+++ b/src/direct/endpoint_updates.cpp
@@ -63,7 +63,7 @@
 
 void DirectCalls::applyVersion(const PublishedVersion &version, TimePoint /*now*/)
 {
-    auto &known = impl_->namedVersions[{version.model, version.adapter}];
+    auto &known = impl_->publishedVersions[{version.model, version.adapter}];
     known = std::max(known, version.version);
     for (auto &[id, entry] : impl_->endpoints.entries()) {
         entry.hasDemandChanged = true;
--- a/src/direct/estimates.h
+++ b/src/direct/estimates.h
@@ -1,4 +1,5 @@
-// Properties of a deployment, learned from calls. Robust against outliers and bounded in memory.
+// Properties of a deployment, learned from calls. Robust against outliers and bounded in memory. Values are defaults
+// until measured; callers that refuse calls by them check isMeasured().
 #pragma once
 
 #include "anvilscale/base.h"
--- a/src/direct/load_times.cpp
+++ b/src/direct/load_times.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t minSamplesToNarrow = 4;
 // Sidecars that start together must not overload the store: the initial samples have to show its full speed.
 constexpr double initialWindow = 1;
-constexpr std::size_t maxTrackedAdapters = 512; // adapters
+constexpr std::size_t maxTrackedAdapters = 512; // bounds memory
 constexpr double copiesWeight = 0.25; // weight of a load that contradicts the estimate
 
 } // namespace
--- a/src/routing/demand_table.h
+++ b/src/routing/demand_table.h
@@ -33,8 +33,8 @@
     bool acceptsLoads = false; ///< admitting and not leaving
     bool isSuspect = false;
     std::uint64_t sequence = 0;
-    std::map<std::uint64_t, ResidencyState> adapters; ///< by key64
-    std::map<std::uint64_t, Demand> demands; ///< by key64
+    std::map<std::uint64_t, ResidencyState> adapters; ///< by AdapterVersion::hash()
+    std::map<std::uint64_t, Demand> demands; ///< by AdapterVersion::hash()
 };
 
 /// Index of residency and demand over all sidecars.
@@ -77,7 +77,7 @@
     // Invariant: exactly the sidecars whose `demands` is not empty. Keeps the cost of a grant independent of idle
     // sidecars.
     std::map<std::string, const SidecarLoadState *> sidecarsWithDemand_;
-    // By key64. Invariant: counts the Resident and Loading states in sidecars_; no count is zero.
+    // By AdapterVersion::hash(). Invariant: counts the Resident and Loading states in sidecars_; no count is zero.
     std::unordered_map<std::uint64_t, std::uint32_t> copyCounts_;
     std::uint32_t loadingCount_ = 0;
 };
--- a/src/routing/fleet_view.h
+++ b/src/routing/fleet_view.h
@@ -48,7 +48,7 @@
     Duration queueDelay{};
     std::uint32_t sentSinceReport = 0; ///< calls sent by this entry since the last report
     std::uint32_t openAttempts = 0; ///< attempts of this entry that are still open
-    std::unordered_map<std::uint64_t, AdapterView> adapters; ///< by AdapterVersion::key64()
+    std::unordered_map<std::uint64_t, AdapterView> adapters; ///< by AdapterVersion::hash()
 
     /// True if new calls may be sent to the sidecar.
     bool isRoutable() const
--- a/src/routing/placement.h
+++ b/src/routing/placement.h
@@ -13,7 +13,7 @@
 {
     std::string_view baseModel; ///< empty for a plain service
     std::string_view service; ///< empty for a model call
-    std::uint64_t adapterKey = 0; ///< AdapterVersion::key64(); 0 for a plain service
+    std::uint64_t adapterKey = 0; ///< AdapterVersion::hash(); 0 for a plain service
     CallClass callClass = CallClass::Normal;
     std::uint64_t keyHash = 0; ///< hash of the idempotency key; 0 if none
     std::span<const SidecarIndex> triedSidecars; ///< sidecars of earlier attempts, which are not chosen again
