--- a/include/anvilscale/endpoint.h
+++ b/include/anvilscale/endpoint.h
@@ -120,7 +120,7 @@
     // The methods below may be called from any thread.
     void start(StartExecution action);
     void attach(AttachListener action);
-    /// Must be called after `ended` has been processed; no listener may be attached to the execution afterwards.
+    /// Must be called after onEnded has been processed; no listener may be attached to the execution afterwards.
     void release(ExecutionHandle execution);
     void detach(DetachListener action);
     void cancel(CancelExecution action);
--- a/include/anvilscale/net.h
+++ b/include/anvilscale/net.h
@@ -425,7 +425,7 @@
 enum class LivenessCheck : std::uint8_t {
     Heartbeats, ///< ZeroMQ heartbeats in both directions
     /// TCP keep-alive probes of the kernel, at no cost to the processes. A target that has sent a message must send
-    /// several more within each silence timeout, or its connection is closed.
+    /// at least one more within each silence timeout (normally it sends several), or its connection is closed.
     KeepAlive,
     Count
 };
--- a/include/anvilscale/residency.h
+++ b/include/anvilscale/residency.h
@@ -111,8 +111,8 @@
 using SidecarAction = std::variant<SendMessage, StartExecution, AttachListener, DetachListener, CancelExecution,
                                    ReplayAnswer, SendOrder, SubmitKv, Drained>;
 
-/// State that an engine reports in reply to a List order. Only the incarnation and the loaded adapters are
-/// authoritative; the other fields are hints.
+/// State that an engine reports in reply to a List order. `running` also releases orphaned calls, and `highestFence`
+/// determines the fencing number of a new sidecar.
 struct EngineList
 {
     std::uint64_t incarnation = 0;
--- a/include/anvilscale/routing.h
+++ b/include/anvilscale/routing.h
@@ -77,7 +77,7 @@
 {
     bool frameMatch = true; ///< accepts only frames of the open attempt with their id and sidecar, in order
     bool digestCheck = true; ///< checks the answer against the frame count and digest of the end frame
-    bool notRunProof = true; ///< reports "not run" only with a proof, else for any call without an answer
+    bool notRunProof = true; ///< reports "not run" only with a proof; if off, for any call without delivered frames
     bool spliceGuard = true; ///< no retry once the caller has received bytes
     bool retryOnlySafe = true; ///< no retry of a non-idempotent call that may have run
     bool slotFence = true; ///< sends the fencing number of the slot owner with the call
--- a/include/anvilscale/state.h
+++ b/include/anvilscale/state.h
@@ -198,7 +198,7 @@
 
 /// Acquires and holds one key in the key-value service under a lease, with a fencing number that increases with every
 /// acquisition. Callers check mayAct() directly before each effect: the lease is counted from before its last
-/// keep-alive was sent, so a holder that was paused detects by its own monotonic clock that its lease has expired.
+/// successful keep-alive was sent, so a holder paused beyond it detects the expiry by its own monotonic clock.
 class LeaseHolder
 {
 public:
@@ -298,15 +298,15 @@
         std::uint64_t readFailures = 0;
         std::uint64_t applied = 0; ///< revisions applied
         std::uint64_t digestMismatches = 0;
-        std::uint64_t stalePeriods = 0; ///< number of times that stale() became true
+        std::uint64_t stalePeriods = 0; ///< number of times that isStale() became true
     };
     ConfigDistributor(Init init, Callbacks callbacks);
     ~ConfigDistributor();
     void start(Now now);
     bool onReply(const KvReply &reply, Now now);
-    /// Processes the configuration state in a peer's heartbeat or Hello. `age` is the peer's age(): the time since its
-    /// revision was last confirmed as the head. Passing it along a chain of peers can confirm a revision, but peers
-    /// cannot confirm one another.
+    /// Processes the configuration state in a peer's heartbeat or Hello. `age` is the peer's confirmationAge(): the
+    /// time since its revision was last confirmed as the head. Passing it along a chain of peers can confirm a
+    /// revision, but peers cannot confirm one another.
     void onPeerRevision(const std::string &peer, std::uint64_t revision, std::uint64_t digest, Now now,
                         std::optional<Duration> age = std::nullopt);
     void onPeerLost(const std::string &peer);
@@ -335,7 +335,8 @@
     {
         std::string keyPrefix = "/anvilscale/";
         std::string author;
-        /// Newest schema version that all live processes can read (Membership::schemaVersionOfAll); 0 if unknown.
+        /// Newest schema version that all processes with a known version read (Membership::schemaVersionOfAll); 0 if
+        /// unknown.
         std::uint32_t schemaVersionOfAll = 0;
         std::uint32_t snapshotEvery = 100; ///< revisions between snapshots
         std::size_t chunkBytes = 900'000; ///< size of a snapshot chunk; the service limits values to one megabyte
@@ -554,7 +555,8 @@
     void onUnreachable(const std::string &name, Now now);
     const Member *find(std::string_view name) const;
     std::vector<Member> members() const;
-    /// Newest schema version of configuration records that all members can read; 0 if none has reported one.
+    /// Newest schema version of configuration records that all live or suspect members which have reported a version
+    /// can read; 0 if none has reported one.
     std::uint32_t schemaVersionOfAll() const;
 
 private:
--- a/src/net/caller_connection.cpp
+++ b/src/net/caller_connection.cpp
@@ -354,7 +354,7 @@
 }
 
 // A caller that does not read keeps its response in memory and, through flow control, its call at the engine. It is
-// disconnected once it has read no byte for the write timeout.
+// disconnected once its connection has accepted no byte for the write timeout.
 void CallerConnection::updateWriteTimer()
 {
     if (writtenBytes_ == output_.size()) {
--- a/src/net/messenger_thread.cpp
+++ b/src/net/messenger_thread.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr int maxReceivesPerTurn = 256; // from one socket before the others are served
-constexpr auto maxPollWait = std::chrono::milliseconds(200); // minimum rate of expiry checks of waiting messages
+constexpr auto maxPollWait = std::chrono::milliseconds(200); // longest interval between expiry checks of messages
 constexpr auto retryPollWait = std::chrono::milliseconds(2); // while a new connection does not accept messages yet
 constexpr int minReconnectMs = 50;
 constexpr int maxReconnectMs = 1000;
--- a/src/platform/call_budget.h
+++ b/src/platform/call_budget.h
@@ -18,8 +18,8 @@
     {
     }
 
-    /// Consumes one call at `now`; false if none is left. A fifth of the bucket is reserved for leases, so that a
-    /// burst of reads cannot let the process's own leases expire.
+    /// Consumes one call at `now`; false if none is left. A fifth of the bucket is reserved for lease keep-alives and
+    /// revocations, so that a burst of reads cannot let the process's own leases expire.
     bool tryConsume(KvOp op, TimePoint now)
     {
         refill(now);
--- a/src/residency/eviction.h
+++ b/src/residency/eviction.h
@@ -33,7 +33,7 @@
 double retentionValue(const AdapterRecord &record, Duration loadTime, const EvictionRules &rules, TimePoint now);
 /// Time for which an adapter is protected from eviction after its load. Prevents thrashing.
 Duration protectionPeriod(const AdapterRecord &record, const EvictionRules &rules, TimePoint now);
-/// Returns true if a free slot is available that is not reserved for urgent calls.
+/// Returns true if the claim may take a free slot. Only an urgent claim may take a slot reserved for urgent calls.
 bool mayTakeFreeSlot(const AdapterTable &table, const SlotClaim &claim);
 /// Returns the adapter to unload for the claim, or null if none is evictable or all are worth more than the claim.
 AdapterRecord *chooseVictim(AdapterTable &table, const SlotClaim &claim, Duration loadTime, const EvictionRules &rules,
--- a/src/residency/recovery.h
+++ b/src/residency/recovery.h
@@ -24,8 +24,8 @@
         "not_started", "listing", "fencing", "waiting", "confirming", "done"};
 };
 
-/// Ensures that no call is admitted and no adapter is loaded or evicted while orders of a predecessor may still take
-/// effect.
+/// Prevents admissions, loads and evictions while a predecessor's orders may still take effect and until a list shows
+/// which of its calls still run.
 ///
 ///   Listing -> Fencing -> Confirming -> Done      the endpoint checks fencing numbers
 ///   Listing -> Waiting -> Confirming -> Done      it does not: waits for the maximum duration of an order
--- a/src/residency/sidecar.h
+++ b/src/residency/sidecar.h
@@ -35,7 +35,7 @@
     bool hasSentDemands = false; ///< the latest message sent to it had demands, so their end must be sent as well
 };
 
-/// Load decided on by a grant, or by this sidecar while it receives no messages from a scheduler.
+/// Load decided on by a grant, or by this sidecar if the scheduler is absent or suspect or its grants are overdue.
 struct PlannedLoad
 {
     AdapterVersion adapterVersion;
@@ -207,7 +207,7 @@
     void onEngineReport(const EngineReport &report, Now now);
     void onEngineLost(Now now);
     /// Returns false if the message with this incarnation is out of date.
-    bool onIncarnation(std::uint64_t incarnation, bool isRequestedInIncarnation, Now now);
+    bool onIncarnation(std::uint64_t incarnation, bool isRequestedSinceIncarnation, Now now);
     void handleEngineRestart(Now now);
 
     // sidecar_loads.cpp: assignment of slots
@@ -284,7 +284,7 @@
     std::uint64_t lastExecution_ = 0;
     std::uint64_t lastMessage_ = 0;
     std::uint64_t phaseOrderNumber_ = 0; // orders with a larger number were sent in the current recovery phase
-    std::uint64_t incarnationOrderNumber_ = 0; // orders with a larger number were sent to the current incarnation
+    std::uint64_t incarnationOrderNumber_ = 0; // orders with a larger number were sent after engineIncarnation_ changed
     TimePoint engineAdoptedAt_; // time of start or of the last detected engine restart
     TimePoint endpointRetryAt_; // an unreachable plain service is retried then
     TimePoint lastListAt_;
--- a/src/residency/sidecar_admission.cpp
+++ b/src/residency/sidecar_admission.cpp
@@ -133,7 +133,7 @@
         return RefusalDetail{RefusalReason::Recovering, true, retryAfter};
     }
     // After a pause, calls may be read before the notification that the endpoint is leaving. Prevents them from
-    // reaching a leaving endpoint: they are refused until the VM list has been read again.
+    // reaching a leaving endpoint: they are refused for the suspect timeout, in which the VM list is read again.
     if (now < catchUpDeadline_) {
         return RefusalDetail{RefusalReason::Recovering, true, retryDelayUntil(catchUpDeadline_, now)};
     }
--- a/src/residency/sidecar_calls.cpp
+++ b/src/residency/sidecar_calls.cpp
@@ -138,7 +138,7 @@
     execution.isPinned = false;
     if (hasEndpointFinished(answer)) {
         adapters_.unpin(*record);
-        // If the last demands reported that no slot can be freed, the scheduler is notified of the free one at once.
+        // If the last demands reported that no slot can be freed, the scheduler is notified at once that one now can.
         markChanged(execution.adapterVersion, hasSentBlockedDemand_ && !record->mayHaveRunningCalls());
         return;
     }
--- a/src/residency/sidecar_keys.cpp
+++ b/src/residency/sidecar_keys.cpp
@@ -93,7 +93,8 @@
         return RefusalDetail{RefusalReason::SlotUnowned, true, random_.jitter(ownerRetryDelay)};
     }
     const auto ownership = guard->ownership(request.key(), view, now);
-    // A different fencing number means that the entry's slot table is out of date; the refusal makes it read it again.
+    // A different fencing number refers to another ownership of the slot: the call is refused, and the entry reads the
+    // slot table again.
     const bool hasOtherFence = request.slot_fence() != 0 && request.slot_fence() != ownership.fence;
     if (!ownership.isOwned || hasOtherFence) {
         return RefusalDetail{RefusalReason::NotSlotOwner, true, random_.jitter(ownerRetryDelay), ownership.fence};
--- a/src/residency/sidecar_loads.cpp
+++ b/src/residency/sidecar_loads.cpp
@@ -348,7 +348,7 @@
         return OrderOutcome::Expired;
     }
     // Prevents grants from a scheduler that was paused past its lease. If its successor's larger number has not been
-    // received here, the successor has not granted any loads and the older grant is harmless.
+    // received here, the successor has not granted a load to this sidecar and the older grant is harmless.
     if (safeguards.fenceCheck && grant.fence() < highestGrantFence_) {
         return OrderOutcome::FencedOff;
     }
--- a/src/residency/sidecar_orders.cpp
+++ b/src/residency/sidecar_orders.cpp
@@ -249,8 +249,8 @@
     if (!init_.safeguards.recoveryWait) {
         return;
     }
-    // Calls that were started by a predecessor or before a restart was detected are not tracked here. An early list may
-    // miss a call in transit to the engine, so another list is requested.
+    // Counts calls of a predecessor, or from before a detected restart, as orphans. An early list may miss a call in
+    // transit to the engine, so at least one is assumed until a later list shows none.
     const bool isEarly = endsRecovery && order.sentAt < engineAdoptedAt_ + minListDelay;
     record.orphanedCalls = std::max(runningCalls, static_cast<std::uint32_t>(isEarly));
     record.orphanOrderNumber = order.handle.value;
@@ -317,14 +317,14 @@
                   [](const WaitingCall &) { return true; });
 }
 
-bool SidecarDecisions::Impl::onIncarnation(std::uint64_t incarnation, bool isRequestedInIncarnation, Now now)
+bool SidecarDecisions::Impl::onIncarnation(std::uint64_t incarnation, bool isRequestedSinceIncarnation, Now now)
 {
     if (incarnation == 0 || incarnation == engineIncarnation_) {
         return true;
     }
     // Reports may be delayed, so a smaller number is an old one. A list requested after the current incarnation was
     // learned can't be old: there a smaller number means that the engine's clock was set back.
-    if (incarnation < engineIncarnation_ && !isRequestedInIncarnation) {
+    if (incarnation < engineIncarnation_ && !isRequestedSinceIncarnation) {
         return false;
     }
     const bool hasRestarted = engineIncarnation_ != 0;
--- a/src/routing/demand_table.cpp
+++ b/src/routing/demand_table.cpp
@@ -99,8 +99,8 @@
         const auto key = AdapterVersion{state.adapter(), state.version()}.hash();
         setAdapter(sidecar, key, fromWire(state.state(), ResidencyState::Unknown));
     }
-    // Membership may not change again after the last heartbeat of a leaving or suspect sidecar. Its load must not block
-    // all other loads.
+    // A sidecar that exits while leaving or suspect may cause no further membership change. Prevents the load in its
+    // last heartbeat from blocking all other loads.
     if (heartbeat.leaving() || sidecar.isSuspect) {
         markLoadsUnknown(sidecar);
     }
--- a/src/routing/entry_attempts_impl.h
+++ b/src/routing/entry_attempts_impl.h
@@ -162,7 +162,7 @@
     }
 }
 
-/// A call that may have run is retried only if it is idempotent. Prevents a second execution of an admission.
+/// A call that may have run is retried only if it is idempotent. Prevents a non-idempotent call from running twice.
 template<class Traits>
 bool EntryCore<Traits>::mayRetry(const EntryCall &call, AttemptOutcome lastOutcome) const
 {
--- a/src/routing/load_scheduler.cpp
+++ b/src/routing/load_scheduler.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Sidecars ignore a grant that is older.
+// Time after the receipt of a grant within which the sidecar must start the load; then the grant expires.
 constexpr Duration grantValidity = Seconds(1);
 // A load without a result counts as lost after this multiple of the expected load time.
 constexpr int lostLoadTimeFactor = 20;
--- a/src/routing/recent_requests.h
+++ b/src/routing/recent_requests.h
@@ -27,7 +27,7 @@
 private:
     void removeExpired(TimePoint now);
 
-    // By key hash. A collision only routes a call to another sidecar.
+    // By key hash. On a collision a new call counts as a repeat: it may be rerouted or use the retry budget.
     std::unordered_map<std::uint64_t, SentRequest> sentRequests_;
     // Time and key hash of each recorded request, oldest first.
     std::deque<std::pair<TimePoint, std::uint64_t>> expiryOrder_;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -193,7 +193,8 @@
     return std::nullopt;
 }
 
-// The other delays of the store calls are fractions of the same bound and assume at most this share for the pause.
+// Limits the pause to its share of the bound: the other delays of store calls are fractions of the same bound, and they
+// fit into it only if the pause does not exceed this share.
 std::optional<SettingsError> checkStorePause(const settings::Direct &direct)
 {
     constexpr std::uint32_t maxPercent = 45;
--- a/src/state/config_distributor.cpp
+++ b/src/state/config_distributor.cpp
@@ -133,7 +133,8 @@
     impl_->startTimer(impl_->staleTimer, impl_->init.timing.configPoll, now, &Impl::checkStale);
 }
 
-/// Watchers also poll the head, so that an undetected loss of the watch delays changes by at most one poll interval.
+/// Watchers also poll the head, at 1 to 2 times configPoll, which bounds the delay of changes if the watch is lost
+/// undetected.
 void ConfigDistributor::Impl::poll(Now now)
 {
     updateHeadWatch(now);
--- a/src/state/config_writer.cpp
+++ b/src/state/config_writer.cpp
@@ -323,8 +323,8 @@
     send(Step::UpdatingHead, std::move(request));
 }
 
-/// Lists the old snapshot and the deltas before it for deletion. Newer deltas are kept for processes that are slightly
-/// behind.
+/// Lists the old snapshot and the deltas up to its revision for deletion. Newer deltas are kept for processes that
+/// are slightly behind.
 void ConfigWriter::Impl::listObsoleteKeys(const config::Head &before)
 {
     obsoleteKeys.clear();
--- a/src/state/lease_holder.cpp
+++ b/src/state/lease_holder.cpp
@@ -307,8 +307,8 @@
 
 bool LeaseHolder::mayAct(TimePoint now) const
 {
-    // Counted from before the send, the lease expires here no later than at the service. A holder that was paused is
-    // past this time when it resumes, regardless of earlier checks.
+    // Counted from before the send, the lease expires here no later than at the service. A holder that was paused
+    // beyond this time detects it on resuming, regardless of earlier checks.
     if (!impl_->init.safeguards.leaseClock) {
         return impl_->state == LeaseState::Held;
     }
--- a/src/state/membership.cpp
+++ b/src/state/membership.cpp
@@ -87,7 +87,7 @@
     return it->second;
 }
 
-/// Starts the shared timer, which checks all members at half the suspect time.
+/// Starts the shared timer, which checks all members every half of the suspect time.
 void Membership::Impl::startTimer(Now now)
 {
     if (timer || init.timers == nullptr) {
@@ -235,8 +235,8 @@
         }
         return;
     }
-    // Prevents flapping: each state change moves calls, so a suspected member must send several heartbeats in time
-    // first.
+    // Prevents flapping, as each state change moves calls: the member must first send one heartbeat in time for each
+    // recent suspicion.
     ++entry.heartbeatsSinceSuspect;
     if (isRestarted || entry.heartbeatsSinceSuspect >= entry.recentSuspicions) {
         setState(entry, MemberState::Live);
--- a/src/state/record.cpp
+++ b/src/state/record.cpp
@@ -352,7 +352,7 @@
         return tl::unexpected(
             makeError(ConfigErrorKind::OutOfRange, path + ".marginMs", "must be at least twice skewMs"));
     }
-    // With a shorter window every key would be refused after a takeover.
+    // With a window no longer than margin plus twice the skew, every key would be refused after a takeover.
     if (service.window <= service.margin + 2 * service.skew) {
         return tl::unexpected(
             makeError(ConfigErrorKind::OutOfRange, path + ".windowS", "must exceed marginMs and twice skewMs"));
--- a/src/state/slot_plan.cpp
+++ b/src/state/slot_plan.cpp
@@ -78,8 +78,7 @@
     const auto owned = static_cast<std::uint32_t>(
         std::count_if(slots.begin(), slots.end(), [this](const SlotState &slot) { return isOwnedBySelf(slot); }));
     const std::uint32_t share = fairShare(slotCount(), members.size());
-    // The other members had the duration of a lease to claim their shares; what is left belongs to members that do not
-    // exist.
+    // The other members had the duration of a lease to claim their shares; those that did not are treated as absent.
     const bool isOrphaned = now.mono - *unclaimedSince >= init.timing.lease;
     std::uint32_t remaining = isOrphaned ? freeSlots : share - std::min(share, owned);
     const std::uint64_t fence = nextFence(slots);
@@ -131,7 +130,7 @@
     return owned > tolerated ? owned - share : 0;
 }
 
-/// Returns the live member with the fewest slots if it is below its share, or any if we are draining.
+/// Returns the live member with the fewest slots if it is below its share or this sidecar is draining; "" if none.
 std::string SlotOwner::Impl::chooseReceiver(const std::vector<SlotState> &slots) const
 {
     std::string bestReceiver;
--- a/tests/process/direct_test.cpp
+++ b/tests/process/direct_test.cpp
@@ -228,7 +228,7 @@
     }
 }
 
-// Guards against calls cut by SIGTERM: readiness fails at once, calls are still served, and the process exits with 0.
+// Guards against refused calls after SIGTERM: readiness fails within a second, late calls are served, exit code 0.
 TEST_F(Direct, StoppedEntryServesUntilTheBalancerReacts)
 {
     start();
--- a/tests/process/faults_test.cpp
+++ b/tests/process/faults_test.cpp
@@ -82,8 +82,8 @@
     EXPECT_TRUE(isAnswering("entry-1")) << fleet_.lastAnswer.body << fleet_.folder();
 }
 
-// Guards against a stream that looks complete after its engine is killed, and against calls to a restarted engine that
-// has not loaded the adapter.
+// Guards against a stream that looks complete after its engine is killed, and against a restarted engine whose
+// adapters are not loaded again.
 TEST_F(Faults, KilledEngineEndsTheStreamInAnErrorEvent)
 {
     start(1, 1);
--- a/tests/process/streams_test.cpp
+++ b/tests/process/streams_test.cpp
@@ -106,7 +106,7 @@
     EXPECT_EQ(completeStreams_, streamCount) << firstFailure_ << " " << fleet_.folder();
 }
 
-// Guards against streams cut by a SIGTERM of their sidecar, and against new calls to it.
+// Guards against streams, running or new, that a SIGTERM of one of two sidecars breaks; the sidecar exits with 0.
 TEST_F(Streams, SigtermOfASidecarCutsNoStream)
 {
     for (unsigned i = 0; i < streamCount / 2; ++i) {
--- a/tests/standins/engine_core.h
+++ b/tests/standins/engine_core.h
@@ -112,8 +112,8 @@
     }
     /// Queues a request. Returns null if the model is not loaded or the engine is down.
     SequencePtr submit(Sequence &&request);
-    /// Waits up to `wait` for more than `have` tokens or the end of the sequence. Returns the number of tokens produced
-    /// and sets `end`.
+    /// Waits up to `wait` for more than `knownTokens` tokens or the end of the sequence. Returns the number of tokens
+    /// produced and sets `end`.
     std::size_t waitForTokens(const SequencePtr &sequence, std::size_t knownTokens, std::chrono::milliseconds wait,
                               RunState &end);
     void cancel(const SequencePtr &sequence);
--- a/tests/standins/service.cpp
+++ b/tests/standins/service.cpp
@@ -1,5 +1,6 @@
 // A plain service stand-in that counts its runs by Idempotency-Key. POST /standin sets {"delayMs", "rejectNext" (503,
-// no run), "failNext" (500 after the run), "cutNext" (no answer after the run)}, GET /standin/record returns the runs.
+// no run), "failNext" (500 after the run), "cutNext" (no answer after the run)}, GET /standin/record returns the runs
+// and the number of repeated runs of a key.
 #include "http_host.h"
 #include "subcommands.h"
 
--- a/tests/support/watched_store.h
+++ b/tests/support/watched_store.h
@@ -52,7 +52,7 @@
         const auto removedAt = removalTime(id);
         return removedAt ? std::optional(*removedAt - acknowledged) : std::nullopt;
     }
-    /// The removal was reported within bound().
+    /// The removal was reported within maxDelay().
     bool isRemovedInTime(const std::string &id, TimePoint acknowledged) const
     {
         const auto delay = removalDelay(id, acknowledged);
--- a/tests/unit/ctl_test.cpp
+++ b/tests/unit/ctl_test.cpp
@@ -229,7 +229,7 @@
     EXPECT_EQ(history->getValue<int>("head"), 1);
 }
 
-// Guards against reporting a rejected change while the key-value service is unreachable.
+// Guards against reporting an unreachable key-value service as a rejected change.
 TEST(Ctl, outageIsDistinguishedFromRejection)
 {
     const StandinProcess service("key-value");
--- a/tests/unit/direct_load_test.cpp
+++ b/tests/unit/direct_load_test.cpp
@@ -186,7 +186,7 @@
     EXPECT_TRUE(takeActions<SendCall>().empty()) << "the adapter is loaded into the other engine";
 }
 
-// Guards against refusals at an engine whose model is almost loaded after a restart.
+// Guards against refusals after a restart when the model's load (600 ms) fits into the caller's limit (2 s).
 TEST_F(CallsUnderLoad, WhatIsLeftOfAModelsLoadCounts)
 {
     auto config = makeConfig(2);
--- a/tests/unit/residency_faults_test.cpp
+++ b/tests/unit/residency_faults_test.cpp
@@ -45,7 +45,7 @@
 
 TEST(ResidencyFaults, ListRequestedBeforeDisconnectReleasesNoPin)
 {
-    // Guards against releasing an adapter in use by a list that was created before the call reached the engine.
+    // Guards against unpinning an adapter in use because of a list created before the call reached the engine.
     SidecarFixture fixture(oneSlot());
     fixture.recover();
     fixture.call(lounge);
--- a/tests/unit/residency_loads_test.cpp
+++ b/tests/unit/residency_loads_test.cpp
@@ -245,7 +245,7 @@
 }
 
 // Guards against refusing a call with a short deadline while an idle adapter is protected from eviction. The protection
-// ends after half of the call's time limit.
+// ends at the latest after half of the call's time limit.
 TEST(ResidencyLoads, IdleAdapterIsEvictedBeforeCallDeadline)
 {
     SidecarInit init;
--- a/tests/unit/scheduler_test.cpp
+++ b/tests/unit/scheduler_test.cpp
@@ -154,7 +154,7 @@
     EXPECT_EQ(fixture.grants[2].message.load_grant().target_incarnation(), 2U);
 }
 
-// Guards against the on-demand load of an unresponsive sidecar blocking all other loads.
+// Guards against a load that a sidecar started without a grant blocking all others once that sidecar is suspect.
 TEST(Scheduler, LoadOfSuspectSidecarDoesNotBlockOthers)
 {
     SchedulerFixture fixture;
--- a/tests/unit/state_lease_test.cpp
+++ b/tests/unit/state_lease_test.cpp
@@ -117,8 +117,7 @@
     }
 }
 
-// Guards against a thundering herd: after an outage only a small share of many holders may retry within the first
-// second.
+// Guards against a thundering herd: in the first second after an outage 400 holders send fewer than 200 requests.
 TEST(LeaseHolder, NoThunderingHerdAfterOutage)
 {
     VirtualCluster cluster;
--- a/tests/unit/store_watcher_test.cpp
+++ b/tests/unit/store_watcher_test.cpp
@@ -320,7 +320,7 @@
     }
 }
 
-// Guards against frequent calls to a store that refuses them: about one a second.
+// Guards against frequent calls to a store that refuses them: at most two a second, as the delay is jittered.
 TEST(StoreWatcher, CallsARefusingStoreAboutOnceASecond)
 {
     WatchedStore entry(2000);
