--- a/src/residency/sidecar.h
+++ b/src/residency/sidecar.h
@@ -50,7 +50,7 @@
 };
 
 /// Summary of the waiting calls of one absent adapter.
-struct Demand
+struct PendingDemand
 {
     AdapterVersion adapterVersion;
     std::uint32_t waiting = 0;
@@ -151,7 +151,7 @@
     void markSuperseded();
     /// Finds the versions to load ahead of a version switch.
     void planPrefetch();
-    std::vector<Demand> prefetchDemands(TimePoint now) const;
+    std::vector<PendingDemand> prefetchDemands(TimePoint now) const;
 
     // sidecar_keys.cpp: at-most-once calls
     std::optional<ServiceView> findService(const wire::CallRequest &request) const;
@@ -220,12 +220,12 @@
     void checkScheduler(bool hasWaitingCalls, TimePoint now);
     void onSchedulerMessage(PeerHandle from, std::uint64_t fence, TimePoint now);
     void clearYielding();
-    void planLocalLoad(const std::vector<Demand> &demands, Now now);
+    void planLocalLoad(const std::vector<PendingDemand> &demands, Now now);
     AdapterRecord *findVictim(const SlotClaim &claim, TimePoint now);
-    std::vector<Demand> collectDemands(TimePoint now) const;
+    std::vector<PendingDemand> collectDemands(TimePoint now) const;
     bool hasPlannedLoad(const AdapterVersion &adapterVersion) const;
     static bool exceedsStarvationBound(TimePoint since, TimePoint deadline, TimePoint now);
-    SlotClaim makeClaim(const Demand &demand, TimePoint now) const;
+    SlotClaim makeClaim(const PendingDemand &demand, TimePoint now) const;
     void evict(AdapterRecord &record, Now now);
     void startLoad(PlannedLoad &plannedLoad, AdapterRecord &record, Now now);
     void finishLoad(const AdapterVersion &adapterVersion, OrderOutcome outcome, Now now);
@@ -233,7 +233,7 @@
     void onLoadFailed(AdapterRecord &record, OrderOutcome outcome, Now now);
     void onGrant(PeerHandle from, const wire::LoadGrant &grant, Now now);
     std::optional<OrderOutcome> checkGrant(const wire::LoadGrant &grant) const;
-    void chooseYieldingAdapter(const std::vector<Demand> &demands, Now now);
+    void chooseYieldingAdapter(const std::vector<PendingDemand> &demands, Now now);
 
     // sidecar_heartbeats.cpp: heartbeats
     void markChanged(const AdapterVersion &adapterVersion, bool isUrgent);
--- a/src/residency/sidecar_loads.cpp
+++ b/src/residency/sidecar_loads.cpp
@@ -61,9 +61,9 @@
     chooseYieldingAdapter(demands, now);
 }
 
-std::vector<Demand> SidecarDecisions::Impl::collectDemands(TimePoint now) const
+std::vector<PendingDemand> SidecarDecisions::Impl::collectDemands(TimePoint now) const
 {
-    std::map<AdapterVersion, Demand> byAdapter;
+    std::map<AdapterVersion, PendingDemand> byAdapter;
     for (const auto &call : queue_.calls()) {
         if (call.record == nullptr || call.record->occupiesSlot() || call.listeners.empty()) {
             continue;
@@ -78,12 +78,12 @@
         const double weight = policy().classWeights[static_cast<std::size_t>(call.callClass)];
         demand.gain += weight * (1.0 + toSeconds(now - call.arrivedAt));
     }
-    std::vector<Demand> result = prefetchDemands(now);
+    std::vector<PendingDemand> result = prefetchDemands(now);
     result.reserve(result.size() + byAdapter.size());
     for (auto &[adapterVersion, demand] : byAdapter) {
         result.push_back(std::move(demand));
     }
-    std::ranges::stable_sort(result, std::ranges::greater{}, &Demand::gain);
+    std::ranges::stable_sort(result, std::ranges::greater{}, &PendingDemand::gain);
     return result;
 }
 
@@ -95,7 +95,7 @@
     return now - since >= bound;
 }
 
-SlotClaim SidecarDecisions::Impl::makeClaim(const Demand &demand, TimePoint now) const
+SlotClaim SidecarDecisions::Impl::makeClaim(const PendingDemand &demand, TimePoint now) const
 {
     SlotClaim claim;
     claim.gain = demand.gain;
@@ -151,7 +151,7 @@
     }
 }
 
-void SidecarDecisions::Impl::planLocalLoad(const std::vector<Demand> &demands, Now now)
+void SidecarDecisions::Impl::planLocalLoad(const std::vector<PendingDemand> &demands, Now now)
 {
     for (const auto &demand : demands) {
         const auto claim = makeClaim(demand, now.mono);
@@ -333,8 +333,8 @@
     onSchedulerMessage(from, grant.fence(), now.mono);
     lastGrantAt_ = now.mono;
     const auto demands = collectDemands(now.mono);
-    const auto it = std::ranges::find(demands, plannedLoad.adapterVersion, &Demand::adapterVersion);
-    plannedLoad.claim = makeClaim(it == demands.end() ? Demand{} : *it, now.mono);
+    const auto it = std::ranges::find(demands, plannedLoad.adapterVersion, &PendingDemand::adapterVersion);
+    plannedLoad.claim = makeClaim(it == demands.end() ? PendingDemand{} : *it, now.mono);
     plannedLoad.claim.isGranted = true;
     plannedLoads_.push_back(std::move(plannedLoad));
 }
@@ -358,9 +358,9 @@
     return std::nullopt;
 }
 
-void SidecarDecisions::Impl::chooseYieldingAdapter(const std::vector<Demand> &demands, Now now)
+void SidecarDecisions::Impl::chooseYieldingAdapter(const std::vector<PendingDemand> &demands, Now now)
 {
-    const auto starvingDemand = std::ranges::find_if(demands, [&](const Demand &demand) {
+    const auto starvingDemand = std::ranges::find_if(demands, [&](const PendingDemand &demand) {
         return makeClaim(demand, now.mono).isStarving
                && adapters_.add(demand.adapterVersion).earliestLoadAt <= now.mono;
     });
--- a/src/residency/sidecar_versions.cpp
+++ b/src/residency/sidecar_versions.cpp
@@ -144,9 +144,9 @@
     }
 }
 
-std::vector<Demand> SidecarDecisions::Impl::prefetchDemands(TimePoint now) const
+std::vector<PendingDemand> SidecarDecisions::Impl::prefetchDemands(TimePoint now) const
 {
-    std::vector<Demand> result;
+    std::vector<PendingDemand> result;
     for (const auto &[next, currentVersion] : prefetch_) {
         const auto *nextRecord = adapters_.find(next);
         const auto *currentRecord = adapters_.find(currentVersion);
@@ -156,7 +156,7 @@
         if (isBlocked || currentRecord == nullptr || currentRecord->state != ResidencyState::Resident) {
             continue;
         }
-        Demand demand;
+        PendingDemand demand;
         demand.adapterVersion = next;
         demand.oldestArrival = now;
         demand.gain = prefetchWeight * retentionValue(*currentRecord, loadTime_.at(now), evictionRules_, now);
--- a/tests/unit/direct_calls_test.cpp
+++ b/tests/unit/direct_calls_test.cpp
@@ -150,7 +150,7 @@
 
 // Guards against abandoning a resumable stream that can be restarted, and against restarting one of which the caller
 // has received a part.
-TEST_F(Calls, AResumableStreamIsBegunAnewWhileItsCallerHasNothingOfIt)
+TEST_F(Calls, ResumableStreamIsRestartedBeforeItsFirstByte)
 {
     auto config = makeConfig(2);
     config.routes.front().resumable = true;
@@ -302,7 +302,7 @@
     EXPECT_TRUE(takeActions<RefuseCall>().empty());
 }
 
-TEST_F(Calls, ARouteThatLastsTooLongIsEndedAtItsTime)
+TEST_F(Calls, CallIsAbandonedAtItsDeadline)
 {
     addPlainEndpoints();
     const auto call = startCall("/n/x", "", Seconds(30));
@@ -371,7 +371,7 @@
 }
 
 // Guards against refusing a call because the engine's sidecar has not sent its state yet.
-TEST_F(Calls, ASidecarThatHasNotSpokenYetIsWaitedFor)
+TEST_F(Calls, CallWaitsForFirstStateOfTheSidecar)
 {
     calls_.applyEndpoint(makeEndpoint("e-1", engineService, "10.0.1.1:80"), now_);
     startCall("/s/x", "a1");
@@ -398,7 +398,7 @@
     EXPECT_EQ(used.size(), 2U);
 }
 
-TEST_F(Calls, EndedCallRecordsTheLastDecision)
+TEST_F(Calls, EndedCallRecordsOutcomeEndpointAndTimes)
 {
     addPlainEndpoints();
     startCall("/n/x");
--- a/tests/unit/direct_leaving_test.cpp
+++ b/tests/unit/direct_leaving_test.cpp
@@ -84,7 +84,7 @@
 }
 
 // Guards against calls to an endpoint that reported in an answer that it is leaving, before the store does.
-TEST_F(Leaving, AnEndpointThatSaysSoInAnAnswerGetsNoMoreCalls)
+TEST_F(Leaving, EndpointLeavingByAnswerGetsNoCalls)
 {
     addPlainEndpoints();
     calls_.onEndpointNotice("p-1", {true, Duration(0)}, now_);
@@ -95,7 +95,7 @@
 }
 
 // Guards against an older store record that makes the endpoint look ready again.
-TEST_F(Leaving, NoRecordBringsBackAnEndpointThatSaidThatItLeaves)
+TEST_F(Leaving, RecordDoesNotReviveEndpointLeavingByAnswer)
 {
     addPlainEndpoints();
     calls_.onEndpointNotice("p-1", {true, Duration(0)}, now_);
@@ -120,7 +120,7 @@
 }
 
 // Guards against a leaving state that outlives its process and affects the next one under the same id.
-TEST_F(Leaving, TheNextProcessIsNotTakenForTheOneThatSaidThatItLeaves)
+TEST_F(Leaving, NextProcessIsNotLeaving)
 {
     addEngines();
     applyLeaving("e-1", 1000, false);
@@ -138,7 +138,7 @@
 };
 
 // Guards against calls to an endpoint that refused one and requested a pause.
-TEST_F(Pausing, AnEndpointGetsNoCallsForAsLongAsItSaid)
+TEST_F(Pausing, PausedEndpointGetsNoCalls)
 {
     addPlainEndpoints();
     calls_.onEndpointNotice("p-1", {false, Seconds(5)}, now_);
--- a/tests/unit/direct_load_test.cpp
+++ b/tests/unit/direct_load_test.cpp
@@ -104,7 +104,7 @@
 }
 
 // Guards against refusing a call that can meet its objective because many late calls wait for adapters.
-TEST_F(CallsUnderLoad, ALongQueueOfLateCallsRefusesNobodyWhoCanBeInTime)
+TEST_F(CallsUnderLoad, LateCallsDoNotCauseRefusalsOfTimelyCalls)
 {
     configureFirstByteLimit();
     auto state = makeState({});
--- a/tests/unit/direct_quarantine_test.cpp
+++ b/tests/unit/direct_quarantine_test.cpp
@@ -50,7 +50,7 @@
 };
 
 // Guards against a request that is repeated under new ids and crashes one endpoint after another.
-TEST_F(Quarantine, ARequestUnderWhichThreeEndpointsEndedReachesNoFourth)
+TEST_F(Quarantine, RequestThatCrashedThreeEndpointsReachesNoFourth)
 {
     addEndpoints(5);
     for (int i = 0; i < 3; ++i) {
--- a/tests/unit/direct_restart_test.cpp
+++ b/tests/unit/direct_restart_test.cpp
@@ -30,7 +30,7 @@
 };
 
 // Guards against calls sent to a restarted engine for an adapter that only its previous process held.
-TEST_F(Restarts, WhatTheProcessBeforeHeldIsForgotten)
+TEST_F(Restarts, AdaptersOfThePreviousProcessAreDiscarded)
 {
     calls_.applyEndpoint(recordOf(firstStartMs), now_);
     applyState(stateOf(firstStartMs, {"a1"}));
--- a/tests/unit/direct_updates_test.cpp
+++ b/tests/unit/direct_updates_test.cpp
@@ -62,17 +62,17 @@
     EXPECT_EQ(again.direct_state().sequence(), lost);
 }
 
-TEST_F(StatePublisherTest, AnEntryThatNeverNamesAStateGetsWholeOnes)
+TEST_F(StatePublisherTest, EntryWithoutAcknowledgementGetsWholeStates)
 {
     publisher_.onStateAcknowledged(entry, 0);
     EXPECT_TRUE(publisher_.buildMessage(entry).has_direct_state());
     EXPECT_TRUE(publisher_.buildMessage(entry).has_direct_state());
 }
 
-class HeardEngines : public test::Calls
+class ReportedEngines : public test::Calls
 {
 protected:
-    HeardEngines()
+    ReportedEngines()
     {
         for (const auto &[id, address] : {std::pair("e-1", addressOne), std::pair("e-2", addressTwo)}) {
             calls_.applyEndpoint(test::makeEndpoint(id, test::engineService, address), now_);
@@ -108,7 +108,7 @@
     }
 };
 
-TEST_F(HeardEngines, HeartbeatsKeepAStateAlive)
+TEST_F(ReportedEngines, HeartbeatsKeepAStateAlive)
 {
     for (int i = 0; i < 20; ++i) {
         advance(Milliseconds(250));
@@ -120,7 +120,7 @@
 
 // Guards against calls to an engine on a stopped VM, which would read them after resuming, when their callers have
 // left.
-TEST_F(HeardEngines, AnEngineWhoseSidecarFallsSilentGetsNoMoreCalls)
+TEST_F(ReportedEngines, EngineWithSilentSidecarGetsNoCalls)
 {
     for (int i = 0; i < 2; ++i) {
         advance(Milliseconds(250));
@@ -129,7 +129,7 @@
     EXPECT_EQ(chosen(), std::set<std::string>{"e-1"});
 }
 
-TEST_F(HeardEngines, IgnoresHeartbeatOfAnotherState)
+TEST_F(ReportedEngines, IgnoresHeartbeatOfAnotherState)
 {
     for (int i = 0; i < 2; ++i) {
         advance(Milliseconds(250));
@@ -140,7 +140,7 @@
 }
 
 // Guards against a paused entry that takes all sidecars for silent and sends every call to an engine without one.
-TEST_F(HeardEngines, PausedEntryTreatsNoSidecarAsSilent)
+TEST_F(ReportedEngines, PausedEntryTreatsNoSidecarAsSilent)
 {
     auto unconnected = test::makeEndpoint("e-3", test::engineService, "10.0.1.3:80");
     unconnected.models = {test::modelName};
@@ -151,7 +151,7 @@
 }
 
 // Guards against avoiding an engine whose sidecar process has terminated.
-TEST_F(HeardEngines, AnEngineWhoseSidecarHasEndedKeepsItsCalls)
+TEST_F(ReportedEngines, EngineWithTerminatedSidecarKeepsItsCalls)
 {
     advance(Milliseconds(250));
     sendHeartbeat(addressOne);
--- a/tests/unit/residency_faults_test.cpp
+++ b/tests/unit/residency_faults_test.cpp
@@ -282,7 +282,7 @@
     EXPECT_EQ(fixture.sidecar.stats().engineRestarts, 1U);
 }
 
-TEST(ResidencyFaults, LoadSentBeforeRestartIsDetected)
+TEST(ResidencyFaults, LoadBeforeRestartDetectionIsResolvedByList)
 {
     // A load may succeed at the new engine process before its restart is detected. Guards against treating the adapter
     // as absent, which would overcommit the slots.
@@ -383,7 +383,7 @@
     EXPECT_TRUE(fixture.sidecar.isLeaving());
 }
 
-TEST(ResidencyFaults, LostEndpointRefusesWaitingCalls)
+TEST(ResidencyFaults, WaitingCallsAreRefusedWhenEndpointIsLost)
 {
     SidecarInit init;
     init.batchLimit = 1;
--- a/tests/unit/residency_loads_test.cpp
+++ b/tests/unit/residency_loads_test.cpp
@@ -62,7 +62,7 @@
     EXPECT_TRUE(fixture.orders.empty());
 }
 
-TEST(ResidencyLoads, GrantForEarlierIncarnationIsIgnored)
+TEST(ResidencyLoads, GrantForEarlierIncarnationIsReportedExpired)
 {
     // A grant for an earlier incarnation must not be reported as a refusal by the weight store, which would make the
     // scheduler withhold all grants.
@@ -94,7 +94,7 @@
     EXPECT_EQ(fixture.takeOrder(OrderKind::Load).order, OrderHandle{});
 }
 
-TEST(ResidencyLoads, GrantDuringRecoveryIsIgnored)
+TEST(ResidencyLoads, GrantDuringRecoveryIsReportedExpired)
 {
     SidecarFixture fixture;
     fixture.start();
--- a/tests/unit/shared_store_watch_test.cpp
+++ b/tests/unit/shared_store_watch_test.cpp
@@ -231,7 +231,7 @@
 }
 
 // Guards against more reads than the store accepts when all entries read after a restore.
-TEST(StoreShare, ARestoreCostsNoMoreReadsThanTheStoreTakes)
+TEST(SharedStoreWatch, ARestoreCostsNoMoreReadsThanTheStoreAccepts)
 {
     constexpr std::size_t entries = 360;
     constexpr int endpoints = 3900;
