--- a/tests/unit/direct_calls_test.cpp
+++ b/tests/unit/direct_calls_test.cpp
@@ -103,7 +103,7 @@
     EXPECT_EQ(takeSentCall().endpointId, "e-2");
 }
 
-TEST_F(Calls, ANamedVersionIsAskedForAndAnOlderOneDoesNotCount)
+TEST_F(Calls, PublishedVersionIsRequestedAndOlderOnesAreIgnored)
 {
     addEngine("e-1", "10.0.1.1:80", {"a1"});
     calls_.applyVersion({modelName, "a1", 2}, now_);
--- a/tests/unit/direct_controller_test.cpp
+++ b/tests/unit/direct_controller_test.cpp
@@ -125,7 +125,7 @@
     EXPECT_EQ(order->adapter, "a1");
 }
 
-TEST_F(AdapterControllerTest, KeepsWhatIsInUse)
+TEST_F(AdapterControllerTest, KeepsAdaptersInUse)
 {
     auto demand = demandFor("i-1", {"a3"});
     for (const auto *adapter : {"a1", "a2"}) {
--- a/tests/unit/direct_leaving_test.cpp
+++ b/tests/unit/direct_leaving_test.cpp
@@ -46,7 +46,7 @@
     EXPECT_EQ(used(), std::set<std::string>{"e-2"});
 }
 
-TEST_F(Leaving, TheNextProcessUnderTheIdTakesCallsAgain)
+TEST_F(Leaving, NextProcessUnderTheIdAcceptsCalls)
 {
     addEngines();
     applyLeaving("e-1", 1000, true);
--- a/tests/unit/direct_load_test.cpp
+++ b/tests/unit/direct_load_test.cpp
@@ -74,7 +74,7 @@
 }
 
 // Guards against holding a call whose adapter cannot be loaded before its caller leaves.
-TEST_F(CallsUnderLoad, ACallWhoseAdapterComesTooLateIsRefusedAtOnce)
+TEST_F(CallsUnderLoad, CallWithLateAdapterIsRefusedAtOnce)
 {
     configureFirstByteLimit();
     auto state = slowStore();
@@ -124,7 +124,7 @@
 }
 
 // Guards against loading one absent adapter into two engines when calls reach two entries at the same time.
-TEST_F(CallsUnderLoad, WhatIsAwaitedSomewhereIsNotLoadedElsewhere)
+TEST_F(CallsUnderLoad, AwaitedAdapterIsNotLoadedElsewhere)
 {
     for (int i = 1; i <= 6; ++i) {
         addEngine("e-" + std::to_string(i), "10.0.1." + std::to_string(i) + ":80", {});
@@ -187,7 +187,7 @@
 }
 
 // Guards against refusals after a restart when the model's load (600 ms) fits into the caller's limit (2 s).
-TEST_F(CallsUnderLoad, WhatIsLeftOfAModelsLoadCounts)
+TEST_F(CallsUnderLoad, RemainingModelLoadTimeCounts)
 {
     auto config = makeConfig(2);
     config.services.front().engine->models.front().reload = Milliseconds(600);
